--- a/include/citron/policy/upstream_chooser.h
+++ b/include/citron/policy/upstream_chooser.h
@@ -16,24 +16,24 @@
   upstream_id id;
   int slots = 1;
   int max_connections = 300;
-  bool cold = false;  // Known to have just started.
+  bool cold = false;  // Has just started.
 };
 
 enum class upstream_outcome {
   kAnswered,
   kServerError,
-  kShedNotRun,           // It said that it is full.
-  kLeavingNotRun,        // It said that it is leaving.
+  kShedNotRun,           // The upstream refused the request as full.
+  kLeavingNotRun,        // The upstream refused because it is leaving.
   kConnectFailedNotRun,  // No byte of the request was sent.
   kTimedOut,
-  kConnectionLost,  // After a byte was sent; possibly a crash.
+  kConnectionLost,  // A byte was already sent; possibly a crash.
   kCancelled,
 };
 
-// True if the outcome proves that the upstream did not run the request.
+// Returns true if the outcome proves that the upstream did not run the request.
 bool IsNotRun(upstream_outcome outcome);
 
-// What an upstream says of itself; late, and not always true.
+// State that an upstream reports about itself. Reports lag and may be wrong.
 struct upstream_report {
   int in_flight = 0;
   int queued = 0;
@@ -43,16 +43,17 @@
 };
 
 struct upstream_chooser_options {
-  // How long a started or returning upstream takes to get its full part.
+  // Time over which a started or reinstated upstream reaches its full share.
   duration cold_start_ramp = std::chrono::seconds(10);
   duration first_ejection = std::chrono::seconds(5);
   duration longest_ejection = std::chrono::seconds(60);
-  // How long a report counts.
+  // Time after which a report expires.
   duration report_lifetime = std::chrono::seconds(3);
 };
 
-// Chooses among the owned upstreams of one service, by what this process has in
-// flight there and what became of it.
+// Chooses among the owned upstreams of one service by the requests that this
+// process has in flight at each of them and by the outcomes of earlier
+// requests.
 class upstream_chooser {
  public:
   explicit upstream_chooser(upstream_chooser_options options);
@@ -64,13 +65,13 @@
                 monotonic_time now);
 
   using filter = std::function<bool(const upstream_id&)>;
-  // The best upstream with a free slot that the filter lets pass.
+  // Returns the best upstream with a free slot that `allowed` accepts.
   std::optional<upstream_id> Choose(monotonic_time now, pcg32& random,
                                     const filter& allowed = {}) const;
 
   void OnSent(const upstream_id& id, monotonic_time now);
-  // `slowness` is the time taken over the time expected; only used for
-  // outcomes that took a slot.
+  // `slowness` is the ratio of the time taken to the time expected. It is used
+  // only for outcomes that occupied a slot.
   void OnDone(const upstream_id& id, upstream_outcome outcome, double slowness,
               monotonic_time now);
 
@@ -79,10 +80,12 @@
   int FreeSlots(monotonic_time now) const;
   int UsableUpstreams(monotonic_time now) const;
   int InFlight(const upstream_id& id) const;
-  // Whether an operator, its own health answer or its refusal says that it is
-  // leaving. A removed one keeps its signs while work is in flight there.
+  // Returns whether the operator, a health report of the upstream or one of its
+  // refusals marks the upstream as leaving. A removed upstream keeps its marks
+  // while requests are in flight there.
   bool IsLeaving(const upstream_id& id, monotonic_time now) const;
-  // When an upstream may next take more than now, without any event.
+  // Returns the earliest time at which an upstream may take more requests
+  // without any further event.
   std::optional<monotonic_time> NextChange(monotonic_time now) const;
 
  private:
@@ -94,23 +97,24 @@
 
     upstream_report report;
     std::optional<monotonic_time> reported_at;
-    // The most that was in flight from here in this period and the last one.
+    // Most requests of this process in flight in the current and in the
+    // previous period of the report lag.
     monotonic_time peak_period_start;
-    int peak = 0;
-    int last_peak = 0;
-    int foreign_work = 0;  // Not ours, by the last report.
+    int peak_in_flight = 0;
+    int previous_peak_in_flight = 0;
+    int other_callers_load = 0;  // By the last report.
 
     monotonic_time ramp_start;
     bool ramping = false;
     monotonic_time ejected_until;
-    bool ejected = false;  // Until probation is passed.
-    int probation_passed = 0;
-    int ejections = 0;  // In a row, without a good spell between.
-    monotonic_time forgiven_at;
+    bool ejected = false;  // Until probation has passed.
+    int probation_successes = 0;
+    int consecutive_ejections = 0;  // Reset after a long period without one.
+    monotonic_time reinstated_at;
     monotonic_time leaving_until;
 
     std::optional<monotonic_time> shed_at;
-    int shed_level = 0;
+    int in_flight_at_shed = 0;
 
     int hard_failures_in_row = 0;
     double failure_rate = 0;
@@ -118,21 +122,21 @@
     int samples = 0;
   };
 
-  int Allowed(const state& s, monotonic_time now) const;
+  int AllowedSlots(const state& s, monotonic_time now) const;
   int RampedSlots(const state& s, monotonic_time now) const;
   bool HasFreshReport(const state& s, monotonic_time now) const;
   double Score(const state& s, int allowed) const;
-  void NotePeak(state& s, monotonic_time now);
-  bool TakesWork(const state& s, monotonic_time now) const;
+  void UpdatePeakInFlight(state& s, monotonic_time now);
+  bool IsUsable(const state& s, monotonic_time now) const;
   void Eject(state& s, duration first, duration longest, monotonic_time now);
-  void Judge(state& s, upstream_outcome outcome, double slowness,
-             monotonic_time now);
-  void JudgeProbation(state& s, upstream_outcome outcome, double slowness,
+  void ProcessOutcome(state& s, upstream_outcome outcome, double slowness,
                       monotonic_time now);
-  void Measure(state& s, upstream_outcome outcome, double slowness);
+  void ProcessProbationOutcome(state& s, upstream_outcome outcome,
+                               double slowness, monotonic_time now);
+  void UpdateStatistics(state& s, upstream_outcome outcome, double slowness);
   bool IsWorseThanPeers(const state& s) const;
   bool MayEjectForQuality() const;
-  void Forgive(state& s, monotonic_time now);
+  void Reinstate(state& s, monotonic_time now);
 
   upstream_chooser_options options_;
   std::map<upstream_id, state> upstreams_;
--- a/tests/policy/upstream_chooser_test.cc
+++ b/tests/policy/upstream_chooser_test.cc
@@ -13,8 +13,8 @@
     chooser.SetUpstreams({{a, 4}, {b, 4}}, now);
   }
 
-  // How many requests the upstream takes now.
-  int Takes(const upstream_id& id) {
+  // Returns how many requests the upstream takes now.
+  int CountTaken(const upstream_id& id) {
     int taken = 0;
     const auto only = [&](const upstream_id& u) { return u == id; };
     while (chooser.Choose(now, random, only)) {
@@ -26,8 +26,8 @@
     }
     return taken;
   }
-  void Ends(const upstream_id& id, upstream_outcome outcome,
-            double slowness = 1) {
+  void SendAndFinish(const upstream_id& id, upstream_outcome outcome,
+                     double slowness = 1) {
     chooser.OnSent(id, now);
     chooser.OnDone(id, outcome, slowness, now);
   }
@@ -51,23 +51,24 @@
   BOOST_TEST((chooser.Choose(now, random) == a));
 }
 
-// After a change of owner the old owner's work is still at the server.
+// After a change of owner, requests of the old owner still run at the server.
 BOOST_AUTO_TEST_CASE(AReportMayLowerButNotRaise) {
   chooser.OnReport(a, {.in_flight = 3}, now);
-  BOOST_TEST(Takes(a) == 1);
+  BOOST_TEST(CountTaken(a) == 1);
   chooser.OnReport(a, {.in_flight = -5}, now);
-  BOOST_TEST(Takes(a) == 4);
-  // One slot stays: a server that is wrong about being full would be lost.
+  BOOST_TEST(CountTaken(a) == 4);
+  // One slot stays, or a server that wrongly reports itself full would never be
+  // used again.
   now += seconds(10);
   chooser.OnReport(a, {.in_flight = 900}, now);
-  BOOST_TEST(Takes(a) == 1);
+  BOOST_TEST(CountTaken(a) == 1);
   now += seconds(4);
-  BOOST_TEST(Takes(a) == 4);
+  BOOST_TEST(CountTaken(a) == 4);
 }
 
-// The report shows work of ours that has ended since. Counting it as somebody
-// else's would leave the slots empty.
-BOOST_AUTO_TEST_CASE(OwnWorkInALateReportIsNotForeign) {
+// A late report shows requests of this process that have ended since. Counting
+// them as load of other callers would leave the slots empty.
+BOOST_AUTO_TEST_CASE(LocalRequestsInALateReportDontCountAsOtherLoad) {
   for (int i = 0; i < 4; ++i) chooser.OnSent(a, now);
   now += milliseconds(500);
   for (int i = 0; i < 4; ++i) {
@@ -75,80 +76,80 @@
   }
   now += milliseconds(500);
   chooser.OnReport(a, {.in_flight = 4}, now);
-  BOOST_TEST(Takes(a) == 4);
+  BOOST_TEST(CountTaken(a) == 4);
 }
 
 BOOST_AUTO_TEST_CASE(UnhealthyByReportKeepsOneSlot) {
   chooser.OnReport(a, {.healthy = false}, now);
-  BOOST_TEST(Takes(a) == 1);
+  BOOST_TEST(CountTaken(a) == 1);
   chooser.OnReport(a, {.ready = false}, now);
-  BOOST_TEST(Takes(a) == 0);
+  BOOST_TEST(CountTaken(a) == 0);
 }
 
-// A server said that it is leaving; its health answers and the list are late
-// and still call it well.
-BOOST_AUTO_TEST_CASE(LeavingOutlivesLateReports) {
-  Ends(a, upstream_outcome::kLeavingNotRun);
+// A server refuses as leaving, while its late health reports still show it as
+// healthy.
+BOOST_AUTO_TEST_CASE(LeavingMarkOutlivesLateReports) {
+  SendAndFinish(a, upstream_outcome::kLeavingNotRun);
   chooser.OnReport(a, {}, now + seconds(2));
   now += seconds(3);
-  BOOST_TEST(Takes(a) == 0);
+  BOOST_TEST(CountTaken(a) == 0);
   now += seconds(10);
-  BOOST_TEST(Takes(a) == 4);
+  BOOST_TEST(CountTaken(a) == 4);
   chooser.OnReport(a, {.leaving = true}, now);
   now += seconds(60);  // No more reports.
-  BOOST_TEST(Takes(a) == 0);
+  BOOST_TEST(CountTaken(a) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(GoneServerComesBackStepByStep) {
-  Ends(a, upstream_outcome::kConnectFailedNotRun);
-  BOOST_TEST(Takes(a) == 4);
-  Ends(a, upstream_outcome::kConnectFailedNotRun);
-  BOOST_TEST(Takes(a) == 0);
+BOOST_AUTO_TEST_CASE(FailedServerIsReinstatedStepByStep) {
+  SendAndFinish(a, upstream_outcome::kConnectFailedNotRun);
+  BOOST_TEST(CountTaken(a) == 4);
+  SendAndFinish(a, upstream_outcome::kConnectFailedNotRun);
+  BOOST_TEST(CountTaken(a) == 0);
   now += seconds(1);
-  BOOST_TEST(Takes(a) == 1);
-  Ends(a, upstream_outcome::kConnectFailedNotRun);
+  BOOST_TEST(CountTaken(a) == 1);
+  SendAndFinish(a, upstream_outcome::kConnectFailedNotRun);
   now += seconds(1);
-  BOOST_TEST(Takes(a) == 0);
+  BOOST_TEST(CountTaken(a) == 0);
   now += seconds(1);
-  Ends(a, upstream_outcome::kAnswered);
-  Ends(a, upstream_outcome::kAnswered);
-  BOOST_TEST(Takes(a) == 1);
+  SendAndFinish(a, upstream_outcome::kAnswered);
+  SendAndFinish(a, upstream_outcome::kAnswered);
+  BOOST_TEST(CountTaken(a) == 1);
   now += seconds(5);
-  BOOST_TEST(Takes(a) == 2);
+  BOOST_TEST(CountTaken(a) == 2);
   now += seconds(5);
-  BOOST_TEST(Takes(a) == 4);
+  BOOST_TEST(CountTaken(a) == 4);
 }
 
-// All servers answer errors alike: the requests are at fault. Ejecting servers
-// for it would turn requests away that might be answered.
-BOOST_AUTO_TEST_CASE(ErrorsEverywhereEjectNobody) {
+// All servers return errors alike, so the requests are at fault. Ejecting
+// servers would reject requests that might be answered.
+BOOST_AUTO_TEST_CASE(ErrorsAtAllServersEjectNone) {
   for (int i = 0; i < 20; ++i) {
-    Ends(a, upstream_outcome::kServerError);
-    Ends(b, upstream_outcome::kServerError);
+    SendAndFinish(a, upstream_outcome::kServerError);
+    SendAndFinish(b, upstream_outcome::kServerError);
   }
   BOOST_TEST(chooser.UsableUpstreams(now) == 2);
 }
 
 BOOST_AUTO_TEST_CASE(SlowServerIsEjectedAndTheOtherStays) {
   for (int i = 0; i < 10; ++i) {
-    Ends(a, upstream_outcome::kAnswered, 6);
-    Ends(b, upstream_outcome::kAnswered, 0.6);
+    SendAndFinish(a, upstream_outcome::kAnswered, 6);
+    SendAndFinish(b, upstream_outcome::kAnswered, 0.6);
   }
-  BOOST_TEST(Takes(a) == 0);
-  for (int i = 0; i < 10; ++i) Ends(b, upstream_outcome::kServerError);
-  BOOST_TEST(Takes(b) == 4);
+  BOOST_TEST(CountTaken(a) == 0);
+  for (int i = 0; i < 10; ++i) SendAndFinish(b, upstream_outcome::kServerError);
+  BOOST_TEST(CountTaken(b) == 4);
 }
 
-BOOST_AUTO_TEST_CASE(FullServerIsLeftAloneForAMoment) {
+BOOST_AUTO_TEST_CASE(FullServerGetsNoRequestsForOneStep) {
   for (int i = 0; i < 3; ++i) chooser.OnSent(a, now);
   chooser.OnDone(a, upstream_outcome::kShedNotRun, 0, now);
-  BOOST_TEST(Takes(a) == 0);
+  BOOST_TEST(CountTaken(a) == 0);
   now += milliseconds(250);
-  BOOST_TEST(Takes(a) == 1);
+  BOOST_TEST(CountTaken(a) == 1);
 }
 
-// Each of the three signs alone makes a server one that is leaving. One that
-// is just full, or not ready yet, isn't: its drain time would be the time for
+// Each of the three signs alone marks a server as leaving. A server that is
+// only full or not ready isn't leaving: its drain time would be the time for
 // which it was busy.
 BOOST_AUTO_TEST_CASE(ServerLeavesByEachOfThreeSigns) {
   BOOST_TEST(!chooser.IsLeaving(a, now));
@@ -170,13 +171,13 @@
   BOOST_TEST(!chooser.IsLeaving(upstream_id("nobody"), now));
 }
 
-BOOST_AUTO_TEST_CASE(StartedServerGetsItsPartSlowly) {
+BOOST_AUTO_TEST_CASE(StartedServerRampsUp) {
   const upstream_id c("c");
   chooser.SetUpstreams({{a, 4}, {b, 4}, {.id = c, .slots = 4, .cold = true}},
                        now);
-  BOOST_TEST(Takes(c) == 1);
+  BOOST_TEST(CountTaken(c) == 1);
   now += milliseconds(7600);
-  BOOST_TEST(Takes(c) == 3);
+  BOOST_TEST(CountTaken(c) == 3);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
