--- a/include/citron/policy/upstream_chooser.h
+++ b/include/citron/policy/upstream_chooser.h
@@ -109,7 +109,7 @@
     monotonic_time ejected_until;
     bool ejected = false;  // Until probation has passed.
     int probation_successes = 0;
-    int consecutive_ejections = 0;  // Reset after a long period without one.
+    int consecutive_ejections = 0;  // Reset after a long time without one.
     monotonic_time reinstated_at;
     monotonic_time leaving_until;
 
--- a/src/policy/upstream_chooser.cc
+++ b/src/policy/upstream_chooser.cc
@@ -31,7 +31,7 @@
 
 // Time for which a server is not used after it refused as leaving. The list of
 // leaving VMs and the health reports lag by seconds and must not bring the
-// server back before.
+// server back earlier.
 constexpr duration kLeavingHold = std::chrono::seconds(10);
 
 // A process that is gone fails each attempt, so two failures in a row suffice.
@@ -48,8 +48,8 @@
 // Errors return faster than work is done, so a server that returns only errors
 // looks the least loaded and attracts all traffic. A server is ejected if it
 // fails half of its requests and at twice the rate of its peers. When all
-// servers fail alike, the requests are at fault, and consecutive_ejections
-// would only add load to the others.
+// servers fail alike, the requests are at fault, and ejections would make it
+// worse.
 constexpr double kFailureRateToEject = 0.5;
 constexpr double kFailureRateOverPeersToEject = 2.0;
 
@@ -184,9 +184,10 @@
   const int slots = std::min(s.capacity.slots, s.capacity.max_connections);
   if (!s.ramping) return slots;
   const duration ramp = std::max(options_.cold_start_ramp, duration(1));
-  const double used_fraction = ToSeconds(now - s.ramp_start) / ToSeconds(ramp);
-  if (used_fraction >= 1) return slots;
-  return std::max(1, static_cast<int>(slots * std::max(used_fraction, 0.0)));
+  const double elapsed_fraction =
+      ToSeconds(now - s.ramp_start) / ToSeconds(ramp);
+  if (elapsed_fraction >= 1) return slots;
+  return std::max(1, static_cast<int>(slots * std::max(elapsed_fraction, 0.0)));
 }
 
 int upstream_chooser::AllowedSlots(const state& s, monotonic_time now) const {
