--- a/include/citron/policy/drain_tracker.h
+++ b/include/citron/policy/drain_tracker.h
@@ -9,23 +9,23 @@
 
 namespace citron {
 
-// Measures how long an upstream that takes no more work still runs requests of
-// ours: from the first sign of its leaving until none is in flight.
+// Measures the drain time of a leaving upstream: from the first sign that it is
+// leaving until no request of this process is in flight there.
 class drain_tracker {
  public:
-  // What is known of the upstream now; after each event that may change it.
-  // The drain time, once, when the last request there has ended.
+  // Takes the current state of the upstream, after each event that may change
+  // it. Returns the drain time once, when the last request there has ended.
   std::optional<duration> Observe(const upstream_id& upstream, bool leaving,
                                   int in_flight, monotonic_time now);
 
-  // Whether it leaves, drained or not.
+  // Returns whether the upstream is leaving, drained or not.
   bool IsLeaving(const upstream_id& upstream) const {
     return drains_.contains(upstream);
   }
 
  private:
   struct drain {
-    monotonic_time first_sign;
+    monotonic_time started_at;
     bool ended = false;
   };
 
--- a/include/citron/policy/shift_ramp.h
+++ b/include/citron/policy/shift_ramp.h
@@ -11,33 +11,33 @@
 namespace citron {
 
 struct shift_ramp_options {
-  double cap_per_s = 0;  // Arrivals from all senders together.
+  double cap_per_s = 0;  // Arrivals of all senders together.
   duration window = std::chrono::seconds(1);
   duration ramp = std::chrono::seconds(30);
   double start_fraction = 0.1;
-  // Granted permits may arrive from their grant until this long after it, the
-  // crossing's jitter included.
+  // Requests may arrive on a permit until this long after its grant, including
+  // the jitter of the network delay between regions.
   duration permit_lifetime = std::chrono::milliseconds(250);
-  // After this long without a grant the caches count as cold again.
+  // The caches count as cold again after this long without a permit request.
   duration idle_reset = std::chrono::seconds(120);
 };
 
 struct shift_permit {
   int count = 0;
-  // The sender counts the lifetime from the moment at which it asked.
+  // The sender counts the lifetime from the time of its permit request.
   duration lifetime{};
 };
 
-// Kept by the receiving region for each service: how many requests may come in
-// from other regions.
+// Limits the cross-region requests that a service of the receiving region takes
+// by granting permits to the senders.
 class shift_ramp {
  public:
   explicit shift_ramp(shift_ramp_options options);
 
   void SetCap(double cap_per_s);
-  // Grants at most `wanted` permits; 0 when the cap is reached.
+  // Grants at most `wanted` permits, or 0 if the cap is reached.
   shift_permit Grant(const vm_id& sender, int wanted, monotonic_time now);
-  // The cap in force, in requests a second.
+  // Returns the cap in force, in requests per second.
   double CapAt(monotonic_time now) const;
 
  private:
@@ -47,17 +47,17 @@
     int count = 0;
   };
   struct sender_state {
-    monotonic_time asked_at;
-    double demand = 0;  // Asked for lately, decayed.
-    int granted = 0;    // In the window.
+    monotonic_time requested_at;
+    double demand = 0;  // Permits requested recently, decayed.
+    int granted = 0;    // Within window + permit_lifetime.
   };
 
-  void Forget(monotonic_time now);
-  int FairPart(const vm_id& sender, int budget) const;
+  void ExpireGrants(monotonic_time now);
+  int FairShare(const vm_id& sender, int budget) const;
 
   shift_ramp_options options_;
   std::optional<monotonic_time> started_at_;
-  monotonic_time granted_at_;
+  monotonic_time last_request_at_;
   std::deque<grant> grants_;
   std::map<vm_id, sender_state> senders_;
   int granted_ = 0;
--- a/src/policy/drain_tracker.cc
+++ b/src/policy/drain_tracker.cc
@@ -7,22 +7,23 @@
                                                monotonic_time now) {
   const auto found = drains_.find(upstream);
   if (found == drains_.end() && !leaving) return std::nullopt;
-  // A later sign of the same leaving doesn't begin it anew: the operator's word
-  // and the upstream's own come seconds apart.
-  drain& seen =
+  // A later sign of the same drain doesn't restart it: the drain by the
+  // operator and the report of the upstream arrive seconds apart.
+  drain& current =
       found != drains_.end()
           ? found->second
-          : drains_.emplace(upstream, drain{.first_sign = now}).first->second;
-  std::optional<duration> took;
-  if (!seen.ended && in_flight == 0) {
-    seen.ended = true;
-    took = now - seen.first_sign;
+          : drains_.emplace(upstream, drain{.started_at = now}).first->second;
+  std::optional<duration> drain_time;
+  if (!current.ended && in_flight == 0) {
+    current.ended = true;
+    drain_time = now - current.started_at;
   }
-  // Back, or no longer ours. It is forgotten only after the look at what is in
-  // flight: one that is taken from the configuration while it drains loses its
-  // signs with its last request, and that drain has ended all the same.
+  // The upstream is back, or this process no longer owns it. It is erased only
+  // after the check for requests in flight: an upstream that is removed from
+  // the configuration while it drains loses its signs with its last request,
+  // and its drain has ended nevertheless.
   if (!leaving) drains_.erase(upstream);
-  return took;
+  return drain_time;
 }
 
 }  // namespace citron
--- a/tests/policy/shift_ramp_test.cc
+++ b/tests/policy/shift_ramp_test.cc
@@ -21,10 +21,11 @@
 
 }  // namespace
 
-// A region is drained and twelve entry VMs elsewhere want to move all their
-// traffic at once, each using its permits at any time of their life. If each
-// had a cap of its own, the receiving region would fall over on cold caches.
-BOOST_AUTO_TEST_CASE(ManySendersStayUnderTheCapInEveryWindow) {
+// A region is drained, and twelve entry VMs in other regions shift all of their
+// traffic at once, each using its permits at any time of their lifetime. If
+// each VM had a cap of its own, the receiving region would be overloaded with
+// cold caches.
+BOOST_AUTO_TEST_CASE(ManySendersStayWithinTheCapInEveryWindow) {
   const shift_ramp_options options = Options();
   shift_ramp ramp(options);
   pcg32 random(5);
@@ -34,8 +35,9 @@
     const shift_permit permit =
         ramp.Grant(sender, 1 + random(30), monotonic_time(now));
     for (int i = 0; i < permit.count; ++i) {
-      const double part = std::ldexp(random(), -32);
-      arrivals.push_back(now + FromSeconds(ToSeconds(permit.lifetime) * part));
+      const double fraction = std::ldexp(random(), -32);
+      arrivals.push_back(now +
+                         FromSeconds(ToSeconds(permit.lifetime) * fraction));
     }
   }
   std::sort(arrivals.begin(), arrivals.end());
@@ -45,13 +47,13 @@
     const double cap = ramp.CapAt(monotonic_time(arrivals[last]));
     BOOST_TEST_REQUIRE(static_cast<double>(last - first + 1) <= cap);
   }
-  // The rest of the cap is the price of permits that live on after the window.
+  // The rest of the cap is lost to permits that outlive the window.
   const auto late =
       std::lower_bound(arrivals.begin(), arrivals.end(), duration(seconds(30)));
   BOOST_TEST((arrivals.end() - late) / 30.0 > 75);
 }
 
-BOOST_AUTO_TEST_CASE(StartsSmallAndStartsOverWhenCachesAreColdAgain) {
+BOOST_AUTO_TEST_CASE(StartsLowAndRestartsWhenCachesAreColdAgain) {
   shift_ramp ramp(Options());
   const monotonic_time start{seconds(100)};
   BOOST_TEST(ramp.Grant(vm_id("a"), 50, start).count == 10);
@@ -60,16 +62,16 @@
   BOOST_TEST(ramp.Grant(vm_id("a"), 50, start + seconds(200)).count == 10);
 }
 
-// One entry VM asks for everything before the others come. The others must not
-// be left with nothing for as long as it goes on asking.
-BOOST_AUTO_TEST_CASE(NoSenderTakesAll) {
+// One entry VM requests all permits before another one requests any. The other
+// one must still get permits while the first keeps requesting.
+BOOST_AUTO_TEST_CASE(NoSenderTakesAllPermits) {
   shift_ramp ramp(Options());
   int greedy = 0;
   int modest = 0;
   for (duration now{}; now < seconds(80); now += milliseconds(100)) {
     const int g = ramp.Grant(vm_id("greedy"), 1000, monotonic_time(now)).count;
     const int m = ramp.Grant(vm_id("modest"), 3, monotonic_time(now)).count;
-    if (now < seconds(20)) continue;  // Until the ramp has ended.
+    if (now < seconds(20)) continue;  // The ramp has not ended yet.
     greedy += g;
     modest += m;
   }
