--- a/include/citron/policy/patience.h
+++ b/include/citron/policy/patience.h
@@ -9,14 +9,15 @@
 
 namespace citron {
 
-// When the caller of a request that arrives now stops waiting: what the
-// contract says for the service at this time of the workspace's own day, or
-// what the caller asked for if that is sooner.
+// Returns the deadline of a request that arrives now: the contract's deadline
+// for the service at this local time of the workspace, or the one that the
+// caller requested if that is sooner.
 monotonic_time DeadlineFor(const contract& terms, const service_id& service,
                            wall_time wall_now, monotonic_time now,
-                           std::optional<duration> asked);
+                           std::optional<duration> requested);
 
-// Minutes since midnight in the named IANA time zone; UTC if it isn't known.
+// Returns the minutes since midnight in the named IANA time zone, or in UTC if
+// the name is unknown.
 int MinuteOfDay(const std::string& time_zone, wall_time wall_now);
 
 }  // namespace citron
--- a/tests/policy/zone_simulation.h
+++ b/tests/policy/zone_simulation.h
@@ -16,8 +16,8 @@
 
 namespace citron {
 
-// Whatever decides what goes to which upstream: the scheduler, or what it is
-// compared with.
+// Decides which upstream gets each request: the scheduler, or a baseline that
+// it is compared with.
 class dispatch_policy {
  public:
   using actions = service_scheduler::actions;
@@ -64,7 +64,7 @@
   service_scheduler scheduler_;
 };
 
-// Requests of one workspace and class; arrivals are a Poisson process.
+// Requests of one workspace and class that arrive as a Poisson process.
 struct simulated_load {
   workspace_id workspace;
   double weight = 1;
@@ -74,28 +74,28 @@
   bool idempotent = true;
   duration patience{};
   double rate_per_s = 0;
-  double burst_factor = 1;  // Of the rate, in the burst's time.
+  double burst_factor = 1;  // Multiplies the rate during the burst.
   duration burst_from{};
   duration burst_to{};
-  int asks = 1;          // How often a caller asks in all when refused.
-  duration ask_again{};  // Its pause; 0 does as the refusal says.
-  bool crashes = false;  // All alike, and each kills the upstream it runs on.
+  int asks = 1;          // Most attempts of a caller whose request is rejected.
+  duration ask_again{};  // Pause between attempts; 0 follows the refusal.
+  bool crashes = false;  // Identical requests; each crashes its upstream.
 };
 
 struct simulated_upstream {
   upstream_capacity capacity;
   double slowness = 1;
-  bool fails_fast = false;        // Answers errors after a millisecond.
-  bool queues_when_full = false;  // Otherwise it sheds.
-  int foreign_work = 0;           // Slots that others fill.
-  bool says_idle = false;         // Whatever it has.
+  bool fails_fast = false;        // Returns errors after 1 ms.
+  bool queues_when_full = false;  // Sheds otherwise.
+  int foreign_work = 0;           // Slots taken by other callers.
+  bool says_idle = false;  // Reports itself idle and ready, whatever its state.
 };
 
 struct workspace_result {
   int offered = 0;  // Callers.
   int good = 0;     // Answered in time.
-  int refused = 0;  // Callers that gave up after a refusal.
-  int late = 0;     // Timed out, failed or lost.
+  int refused = 0;  // Callers that gave up after a rejection.
+  int late = 0;     // Callers with a request timed out, failed or lost.
   std::vector<double> latency_ms;
 };
 
@@ -103,8 +103,8 @@
   std::map<workspace_id, workspace_result> workspaces;
   std::map<std::string, std::vector<double>> latency_ms;  // By class.
   std::map<refusal_reason, int> refusals;
-  std::map<upstream_id, int> good_at;
-  int asked = 0;  // Requests at the owners, asking again included.
+  std::map<upstream_id, int> good_by_upstream;
+  int asked = 0;  // Requests to the owners, including repeated attempts.
   int sends = 0;
   int sheds = 0;
   int crashes = 0;
@@ -123,44 +123,45 @@
   }
 };
 
-inline double Percentile(std::vector<double> values, double part) {
+inline double Percentile(std::vector<double> values, double fraction) {
   if (values.empty()) return 0;
-  const auto at = static_cast<std::size_t>(part * (values.size() - 1));
+  const auto at = static_cast<std::size_t>(fraction * (values.size() - 1));
   std::nth_element(values.begin(), values.begin() + at, values.end());
   return values[at];
 }
 
-// What each gets of a capacity when those that want less than their part by
-// weight leave the rest to the others.
+// Returns the weighted fair shares of a capacity. Workspaces that want less
+// than their share leave the rest to the others.
 inline std::map<workspace_id, double> FairParts(
     const std::map<workspace_id, std::pair<double, double>>& want_and_weight,
     double capacity) {
-  std::map<workspace_id, double> parts;
-  auto open = want_and_weight;
-  while (!open.empty()) {
+  std::map<workspace_id, double> shares;
+  auto unsatisfied = want_and_weight;
+  while (!unsatisfied.empty()) {
     double weights = 0;
-    for (const auto& [id, w] : open) weights += w.second;
-    const double left = capacity;
-    const auto before = open.size();
-    for (auto at = open.begin(); at != open.end();) {
+    for (const auto& [id, w] : unsatisfied) weights += w.second;
+    const double remaining = capacity;
+    const auto before = unsatisfied.size();
+    for (auto at = unsatisfied.begin(); at != unsatisfied.end();) {
       const auto& [want, weight] = at->second;
-      if (want > left * weight / weights) {
+      if (want > remaining * weight / weights) {
         ++at;
         continue;
       }
-      parts[at->first] = want;
+      shares[at->first] = want;
       capacity -= want;
-      at = open.erase(at);
+      at = unsatisfied.erase(at);
     }
-    if (open.size() < before) continue;
-    for (const auto& [id, w] : open) parts[id] = left * w.second / weights;
+    if (unsatisfied.size() < before) continue;
+    for (const auto& [id, w] : unsatisfied)
+      shares[id] = remaining * w.second / weights;
     break;
   }
-  return parts;
+  return shares;
 }
 
-// One service of one zone: callers, its owners and its upstreams, played event
-// by event. A caller goes to an owner at random.
+// Discrete-event simulation of one service of one zone: its callers, owners and
+// upstreams. Each attempt of a caller goes to a random owner.
 class zone_simulation {
  public:
   zone_simulation(std::vector<std::unique_ptr<dispatch_policy>> owners,
@@ -179,7 +180,7 @@
     loads_.push_back(std::make_unique<simulated_load>(load));
     NextArrival(*loads_.back(), random_());
   }
-  // Callers that arrive before `skip` are played but not counted.
+  // Callers that arrive before `skip` are simulated but not counted.
   simulation_result Run(duration time, duration skip = {}) {
     skip_ = skip;
     end_ = time;
@@ -194,8 +195,8 @@
     duration arrived{};
     duration service{};
     std::size_t owner = 0;
-    int asks = 0;
-    int run = 0;  // Tells a send from an earlier one.
+    int attempts = 0;
+    int generation = 0;  // Invalidates end events of earlier sends.
     upstream_id upstream;
   };
   struct upstream_state {
@@ -206,21 +207,23 @@
   };
 
   monotonic_time Now() const { return loop_.Now(); }
-  double Unit() { return std::ldexp(random_() + 0.5, -32); }
-  double Exponential() { return -std::log(Unit()); }
+  double UniformVariate() { return std::ldexp(random_() + 0.5, -32); }
+  double ExponentialVariate() { return -std::log(UniformVariate()); }
 
   void NextArrival(const simulated_load& load, std::uint32_t salt) {
-    // Thinned from the highest rate, so that a burst starts sharply.
+    // Arrivals at the highest rate are thinned, so that a burst starts
+    // abruptly.
     const double peak = load.rate_per_s * std::max(1.0, load.burst_factor);
-    const duration at = loop_.Elapsed() + FromSeconds(Exponential() / peak);
+    const duration at =
+        loop_.Elapsed() + FromSeconds(ExponentialVariate() / peak);
     if (end_ != duration() && at > end_) return;
     loop_.At(at, [this, &load, salt] {
       if (loop_.Elapsed() > end_) return;
       const bool burst =
           load.burst_from <= loop_.Elapsed() && loop_.Elapsed() < load.burst_to;
       const double top = std::max(1.0, load.burst_factor);
-      const double part = (burst ? load.burst_factor : 1.0) / top;
-      if (Unit() < part) Arrive(load);
+      const double fraction = (burst ? load.burst_factor : 1.0) / top;
+      if (UniformVariate() < fraction) Arrive(load);
       NextArrival(load, salt);
     });
   }
@@ -229,8 +232,8 @@
     caller c;
     c.load = &load;
     c.arrived = loop_.Elapsed();
-    c.service =
-        FromSeconds(ToSeconds(load.service_time) * (0.5 + 0.5 * Exponential()));
+    c.service = FromSeconds(ToSeconds(load.service_time) *
+                            (0.5 + 0.5 * ExponentialVariate()));
     c.request = {.workspace = load.workspace,
                  .weight = load.weight,
                  .fingerprint = load.crashes ? 666 : random_(),
@@ -238,62 +241,64 @@
                  .long_running = load.long_running,
                  .idempotent = load.idempotent,
                  .deadline = Now() + load.patience};
-    if (Counts(c)) ++result_.workspaces[load.workspace].offered;
-    Ask(std::move(c));
+    if (IsCounted(c)) ++result_.workspaces[load.workspace].offered;
+    SendToOwner(std::move(c));
   }
 
-  bool Counts(const caller& c) const { return c.arrived >= skip_; }
+  bool IsCounted(const caller& c) const { return c.arrived >= skip_; }
 
-  void Ask(caller c) {
-    ++c.asks;
-    if (Counts(c)) ++result_.asked;
+  void SendToOwner(caller c) {
+    ++c.attempts;
+    if (IsCounted(c)) ++result_.asked;
     c.request.id = request_id(std::to_string(next_request_++));
     c.request.arrived_at = Now();
     c.owner = random_(static_cast<std::uint32_t>(owners_.size()));
     const scheduler_request request = c.request;
     const std::size_t owner = c.owner;
     callers_[request.id] = std::move(c);
-    Do(owner, owners_[owner]->OnRequest(request, Now()));
+    Apply(owner, owners_[owner]->OnRequest(request, Now()));
   }
 
-  void Do(std::size_t owner, const dispatch_policy::actions& actions) {
+  void Apply(std::size_t owner, const dispatch_policy::actions& actions) {
     for (const scheduler_action& action : actions) {
       if (const auto* send = std::get_if<send_action>(&action)) Send(*send);
-      if (const auto* r = std::get_if<refuse_action>(&action)) Refused(*r);
+      if (const auto* r = std::get_if<refuse_action>(&action))
+        HandleRefusal(*r);
     }
     const auto timer = owners_[owner]->NextTimer();
     if (!timer) return;
     loop_.At(timer->time_since_epoch(), [this, owner, at = *timer] {
       const auto still = owners_[owner]->NextTimer();
-      if (still && *still == at) Do(owner, owners_[owner]->OnTimer(Now()));
+      if (still && *still == at) Apply(owner, owners_[owner]->OnTimer(Now()));
     });
   }
 
-  void Refused(const refuse_action& refusal) {
+  void HandleRefusal(const refuse_action& refusal) {
     const auto found = callers_.find(refusal.id);
     caller c = std::move(found->second);
     callers_.erase(found);
     if (Now() > c.request.deadline) ++result_.refused_after_deadline;
-    if (Counts(c)) ++result_.refusals[refusal.reason];
+    if (IsCounted(c)) ++result_.refusals[refusal.reason];
     duration again = refusal.retry_at.time_since_epoch();
     if (c.load->ask_again > duration())
       again = loop_.Elapsed() + c.load->ask_again;
     const bool in_time = monotonic_time(again) < c.request.deadline;
-    if (c.asks < c.load->asks && in_time) {
-      loop_.At(again, [this, c] { Ask(c); });
-    } else if (Counts(c)) {
+    if (c.attempts < c.load->asks && in_time) {
+      loop_.At(again, [this, c] { SendToOwner(c); });
+    } else if (IsCounted(c)) {
       ++result_.workspaces[c.load->workspace].refused;
     }
   }
 
   void Send(const send_action& send) {
     caller& c = callers_.at(send.id);
-    if (Counts(c)) ++result_.sends;
+    if (IsCounted(c)) ++result_.sends;
     upstream_state& u = upstreams_.at(send.upstream);
     c.upstream = send.upstream;
-    ++c.run;
+    ++c.generation;
     if (loop_.Elapsed() < u.down_until) {
-      EndAt(loop_.Elapsed(), send.id, upstream_outcome::kConnectFailedNotRun);
+      FinishAt(loop_.Elapsed(), send.id,
+               upstream_outcome::kConnectFailedNotRun);
       return;
     }
     const int busy = static_cast<int>(u.running.size()) + u.model.foreign_work;
@@ -301,14 +306,14 @@
     result_.most_over_slots =
         std::max(result_.most_over_slots, busy + 1 - u.model.capacity.slots);
     if (full && !u.model.queues_when_full) {
-      if (Counts(c)) ++result_.sheds;
-      EndAt(loop_.Elapsed(), send.id, upstream_outcome::kShedNotRun);
+      if (IsCounted(c)) ++result_.sheds;
+      FinishAt(loop_.Elapsed(), send.id, upstream_outcome::kShedNotRun);
       return;
     }
     const duration deadline = c.request.deadline.time_since_epoch();
     if (full) {
       u.queued.push_back(send.id);
-      EndAt(deadline, send.id, upstream_outcome::kTimedOut);
+      FinishAt(deadline, send.id, upstream_outcome::kTimedOut);
       return;
     }
     Start(u, send.id);
@@ -323,16 +328,17 @@
       return;
     }
     if (u.model.fails_fast) {
-      EndAt(loop_.Elapsed() + std::chrono::milliseconds(1), id,
-            upstream_outcome::kServerError);
+      FinishAt(loop_.Elapsed() + std::chrono::milliseconds(1), id,
+               upstream_outcome::kServerError);
       return;
     }
     const duration end =
         loop_.Elapsed() + FromSeconds(ToSeconds(c.service) * u.model.slowness);
     const duration deadline = c.request.deadline.time_since_epoch();
     const bool in_time = end <= deadline;
-    EndAt(std::min(end, deadline), id,
-          in_time ? upstream_outcome::kAnswered : upstream_outcome::kTimedOut);
+    FinishAt(
+        std::min(end, deadline), id,
+        in_time ? upstream_outcome::kAnswered : upstream_outcome::kTimedOut);
   }
 
   void Crash(upstream_state& u, const request_id& id) {
@@ -342,37 +348,38 @@
     u.down_until = loop_.Elapsed() + std::chrono::seconds(3);
     const std::vector<request_id> lost = u.running;
     for (const request_id& l : lost) {
-      EndAt(loop_.Elapsed(), l, upstream_outcome::kConnectionLost);
+      FinishAt(loop_.Elapsed(), l, upstream_outcome::kConnectionLost);
     }
   }
 
-  void EndAt(duration at, const request_id& id, upstream_outcome outcome) {
-    loop_.At(at, [this, id, outcome, run = callers_.at(id).run] {
+  void FinishAt(duration at, const request_id& id, upstream_outcome outcome) {
+    loop_.At(at, [this, id, outcome, generation = callers_.at(id).generation] {
       const auto found = callers_.find(id);
-      if (found != callers_.end() && found->second.run == run) {
-        End(id, outcome);
+      if (found != callers_.end() && found->second.generation == generation) {
+        Finish(id, outcome);
       }
     });
   }
 
-  void End(const request_id& id, upstream_outcome outcome) {
+  void Finish(const request_id& id, upstream_outcome outcome) {
     caller& c = callers_.at(id);
     upstream_state& u = upstreams_.at(c.upstream);
     std::erase(u.running, id);
     std::erase(u.queued, id);
-    ++c.run;
+    ++c.generation;
     const std::size_t owner = c.owner;
-    const int run = c.run;
-    if (outcome == upstream_outcome::kAnswered) Answered(c);
+    const int generation = c.generation;
+    if (outcome == upstream_outcome::kAnswered) RecordAnswer(c);
     const auto actions = owners_[owner]->OnOutcome(id, outcome, Now());
-    Do(owner, actions);
+    Apply(owner, actions);
     const auto left = callers_.find(id);
-    const bool final =
-        left != callers_.end() && left->second.run == run && !IsNotRun(outcome);
+    const bool final = left != callers_.end() &&
+                       left->second.generation == generation &&
+                       !IsNotRun(outcome);
     if (final) {
       const caller& done = left->second;
       const bool failed = outcome != upstream_outcome::kAnswered;
-      if (failed && Counts(done))
+      if (failed && IsCounted(done))
         ++result_.workspaces[done.load->workspace].late;
       callers_.erase(left);
     }
@@ -385,16 +392,16 @@
                u.model.capacity.slots) {
       const request_id next = u.queued.front();
       u.queued.erase(u.queued.begin());
-      ++callers_.at(next).run;
+      ++callers_.at(next).generation;
       Start(u, next);
     }
   }
 
-  void Answered(const caller& c) {
-    if (!Counts(c)) return;
+  void RecordAnswer(const caller& c) {
+    if (!IsCounted(c)) return;
     workspace_result& w = result_.workspaces[c.load->workspace];
     ++w.good;
-    ++result_.good_at[c.upstream];
+    ++result_.good_by_upstream[c.upstream];
     const double ms = ToMilliseconds(loop_.Elapsed() - c.arrived);
     w.latency_ms.push_back(ms);
     result_.latency_ms[c.load->request_class].push_back(ms);
@@ -411,7 +418,7 @@
       report.ready = loop_.Elapsed() >= u.down_until || u.model.says_idle;
       loop_.At(loop_.Elapsed() + lag, [this, id = id, report] {
         for (std::size_t o = 0; o < owners_.size(); ++o) {
-          Do(o, owners_[o]->OnReport(id, report, Now()));
+          Apply(o, owners_[o]->OnReport(id, report, Now()));
         }
       });
     }
@@ -432,7 +439,8 @@
   simulation_result result_;
 };
 
-// Tarimas' yard-desk in one of its larger zones: servers of 4 slots.
+// Upstreams of Tarimas' yard-desk service in one of its larger zones: servers
+// with 4 slots each.
 inline std::vector<simulated_upstream> YardDesk(int servers = 4) {
   std::vector<simulated_upstream> upstreams;
   for (int i = 0; i < servers; ++i) {
@@ -452,19 +460,19 @@
   return capacities;
 }
 
-// Eight workspaces, a few of them large, that together look up `rate_per_s`
-// pallet lots; each weighs what it may send.
+// Loads of eight workspaces, a few of them large, that together send
+// `rate_per_s` look-ups of pallet lots. Weights are proportional to the rates.
 inline std::vector<simulated_load> LookupLoads(double rate_per_s,
                                                duration patience) {
   std::vector<simulated_load> loads;
-  const std::vector<double> parts = {8, 6, 4, 1, 1, 1, 1, 1};
-  for (std::size_t i = 0; i < parts.size(); ++i) {
+  const std::vector<double> relative_rates = {8, 6, 4, 1, 1, 1, 1, 1};
+  for (std::size_t i = 0; i < relative_rates.size(); ++i) {
     simulated_load load;
     load.workspace = workspace_id("depot-" + std::to_string(i));
-    load.weight = parts[i];
+    load.weight = relative_rates[i];
     load.service_time = std::chrono::milliseconds(40);
     load.patience = patience;
-    load.rate_per_s = rate_per_s * parts[i] / 23;
+    load.rate_per_s = rate_per_s * relative_rates[i] / 23;
     loads.push_back(load);
   }
   return loads;
