--- a/include/citron/policy/upstream_chooser.h
+++ b/include/citron/policy/upstream_chooser.h
@@ -16,7 +16,7 @@
   upstream_id id;
   int slots = 1;
   int max_connections = 300;
-  bool cold = false;  // Has just started.
+  bool cold = false;  // Known to have just started.
 };
 
 enum class upstream_outcome {
--- a/src/policy/upstream_chooser.cc
+++ b/src/policy/upstream_chooser.cc
@@ -47,9 +47,9 @@
 
 // Errors return faster than work is done, so a server that returns only errors
 // looks the least loaded and attracts all traffic. A server is ejected if it
-// fails half of its requests and at twice the rate of its peers. When all
-// servers fail alike, the requests are at fault, and ejections would make it
-// worse.
+// fails at least half of its requests and at least twice as many as its peers.
+// When all servers fail alike, the requests are at fault, and ejections would
+// make it worse.
 constexpr double kFailureRateToEject = 0.5;
 constexpr double kFailureRateOverPeersToEject = 2.0;
 
@@ -62,7 +62,7 @@
 constexpr double kSmoothingGain = 0.2;
 constexpr int kMinSamplesToEject = 5;
 
-// Successful answers that reinstate an ejected server.
+// Successful answers in a row that reinstate an ejected server.
 constexpr int kProbationSuccesses = 2;
 
 // Slowness above which the score of a server gets worse, so that the server
@@ -71,7 +71,7 @@
 
 // A request that ended without an answer counts as slow only if it ran for
 // clearly more than the time expected for its class.
-constexpr double kSlownessWithoutAnswerToCount = 3.0;
+constexpr double kMinSlownessWithoutAnswer = 3.0;
 
 double Median(std::vector<double> values) {
   const auto middle = values.begin() + (values.size() - 1) / 2;
@@ -88,7 +88,7 @@
   if (IsHardFailure(outcome)) return true;
   if (outcome == upstream_outcome::kServerError) return true;
   return outcome == upstream_outcome::kTimedOut &&
-         slowness >= kSlownessWithoutAnswerToCount;
+         slowness >= kMinSlownessWithoutAnswer;
 }
 
 // Returns true if the outcome tells nothing about the quality of the server.
@@ -97,7 +97,7 @@
   if (outcome == upstream_outcome::kLeavingNotRun) return true;
   const bool without_answer = outcome == upstream_outcome::kCancelled ||
                               outcome == upstream_outcome::kTimedOut;
-  return without_answer && slowness < kSlownessWithoutAnswerToCount;
+  return without_answer && slowness < kMinSlownessWithoutAnswer;
 }
 
 }  // namespace
--- a/tests/policy/upstream_chooser_test.cc
+++ b/tests/policy/upstream_chooser_test.cc
@@ -86,8 +86,8 @@
   BOOST_TEST(CountTaken(a) == 0);
 }
 
-// A server refuses as leaving, while its late health reports still show it as
-// healthy.
+// A server refuses as leaving, while its health reports and the list of leaving
+// VMs are late and still show it as healthy.
 BOOST_AUTO_TEST_CASE(LeavingMarkOutlivesLateReports) {
   SendAndFinish(a, upstream_outcome::kLeavingNotRun);
   chooser.OnReport(a, {}, now + seconds(2));
