--- a/include/citron/policy/drain_tracker.h
+++ b/include/citron/policy/drain_tracker.h
@@ -14,7 +14,8 @@
 class drain_tracker {
  public:
   // Takes the current state of the upstream, after each event that may change
-  // it. Returns the drain time once, when the last request there has ended.
+  // it. Returns the drain time once for each drain, at the first call with no
+  // request in flight.
   std::optional<duration> Observe(const upstream_id& upstream, bool leaving,
                                   int in_flight, monotonic_time now);
 
--- a/include/citron/policy/patience.h
+++ b/include/citron/policy/patience.h
@@ -9,9 +9,10 @@
 
 namespace citron {
 
-// Returns the deadline of a request that arrives now: the contract's deadline
-// for the service at this local time of the workspace, or the one that the
-// caller requested if that is sooner.
+// Returns the deadline of a request that arrives now: `now` plus the contract's
+// timeout for the service at this local time of the workspace, or plus the
+// timeout that the caller requested if that is shorter. A negative one counts
+// as 0.
 monotonic_time DeadlineFor(const contract& terms, const service_id& service,
                            wall_time wall_now, monotonic_time now,
                            std::optional<duration> requested);
--- a/include/citron/policy/shift_ramp.h
+++ b/include/citron/policy/shift_ramp.h
@@ -35,7 +35,8 @@
   explicit shift_ramp(shift_ramp_options options);
 
   void SetCap(double cap_per_s);
-  // Grants at most `wanted` permits, or 0 if the cap is reached.
+  // Grants at most `wanted` permits, limited by the rest of the cap and by the
+  // sender's fair share. Grants 0 if the cap is reached.
   shift_permit Grant(const vm_id& sender, int wanted, monotonic_time now);
   // Returns the cap in force, in requests per second.
   double CapAt(monotonic_time now) const;
@@ -46,10 +47,11 @@
     vm_id sender;
     int count = 0;
   };
+  // A span is window + permit_lifetime.
   struct sender_state {
     monotonic_time requested_at;
-    double demand = 0;  // Permits requested recently, decayed.
-    int granted = 0;    // Within window + permit_lifetime.
+    double demand = 0;  // Requested permits, decayed over one span.
+    int granted = 0;    // Permits granted in the last span.
   };
 
   void ExpireGrants(monotonic_time now);
@@ -60,7 +62,7 @@
   monotonic_time last_request_at_;
   std::deque<grant> grants_;
   std::map<vm_id, sender_state> senders_;
-  int granted_ = 0;
+  int total_granted_ = 0;
 };
 
 }  // namespace citron
--- a/include/citron/policy/upstream_chooser.h
+++ b/include/citron/policy/upstream_chooser.h
@@ -43,17 +43,21 @@
 };
 
 struct upstream_chooser_options {
-  // Time over which a started or reinstated upstream reaches its full share.
+  // Time over which an upstream reaches its full share after a cold start, a
+  // reinstatement or a report that turned ready.
   duration cold_start_ramp = std::chrono::seconds(10);
+  // Bounds of the ejection time for slowness and errors; the time doubles with
+  // each consecutive ejection.
   duration first_ejection = std::chrono::seconds(5);
   duration longest_ejection = std::chrono::seconds(60);
-  // Time after which a report expires.
+  // Time after which the load, health and readiness of a report expire. A
+  // leaving mark stays until a later report clears it.
   duration report_lifetime = std::chrono::seconds(3);
 };
 
 // Chooses among the owned upstreams of one service by the requests that this
-// process has in flight at each of them and by the outcomes of earlier
-// requests.
+// process has in flight at each of them, by the outcomes of earlier requests
+// and by the reports of the upstreams.
 class upstream_chooser {
  public:
   explicit upstream_chooser(upstream_chooser_options options);
@@ -84,8 +88,8 @@
   // refusals marks the upstream as leaving. A removed upstream keeps its marks
   // while requests are in flight there.
   bool IsLeaving(const upstream_id& id, monotonic_time now) const;
-  // Returns the earliest time at which an upstream may take more requests
-  // without any further event.
+  // Returns the next time at which to check for more free slots if no event
+  // comes before; there may be none yet at that time.
   std::optional<monotonic_time> NextChange(monotonic_time now) const;
 
  private:
@@ -97,19 +101,21 @@
 
     upstream_report report;
     std::optional<monotonic_time> reported_at;
-    // Most requests of this process in flight in the current and in the
-    // previous period of the report lag.
+    // Highest in-flight count of this process in the current period, which
+    // lasts one report lag, and in the previous one.
     monotonic_time peak_period_start;
     int peak_in_flight = 0;
     int previous_peak_in_flight = 0;
-    int other_callers_load = 0;  // By the last report.
+    int other_callers_load = 0;  // In requests, by the last report.
 
     monotonic_time ramp_start;
     bool ramping = false;
     monotonic_time ejected_until;
-    bool ejected = false;  // Until probation has passed.
+    bool ejected = false;  // Ejected or in probation.
     int probation_successes = 0;
-    int consecutive_ejections = 0;  // Reset after a long time without one.
+    // Set to 0 at an ejection that comes more than longest_ejection after the
+    // last reinstatement.
+    int consecutive_ejections = 0;
     monotonic_time reinstated_at;
     monotonic_time leaving_until;
 
@@ -118,8 +124,8 @@
 
     int hard_failures_in_row = 0;
     double failure_rate = 0;
-    double slowness = 1;
-    int samples = 0;
+    double smoothed_slowness = 1;
+    int samples = 0;  // Outcomes since the last reinstatement.
   };
 
   int AllowedSlots(const state& s, monotonic_time now) const;
--- a/src/policy/drain_tracker.cc
+++ b/src/policy/drain_tracker.cc
@@ -18,10 +18,10 @@
     current.ended = true;
     drain_time = now - current.started_at;
   }
-  // The upstream is back, or this process no longer owns it. It is erased only
-  // after the check for requests in flight: an upstream that is removed from
-  // the configuration while it drains loses its signs with its last request,
-  // and its drain has ended nevertheless.
+  // The entry of an upstream that is back or no longer owned is erased only
+  // after the check above: the leaving mark of an upstream that is removed from
+  // the configuration disappears together with its last request, and that drain
+  // has ended nevertheless.
   if (!leaving) drains_.erase(upstream);
   return drain_time;
 }
--- a/src/policy/patience.cc
+++ b/src/policy/patience.cc
@@ -21,8 +21,9 @@
   return minute >= rule.from_minute || minute < rule.to_minute;
 }
 
-duration ContractDeadline(const contract& terms, const service_id& service,
-                          int minute) {
+// Returns the timeout of the first rule that matches, or the default.
+duration ContractTimeout(const contract& terms, const service_id& service,
+                         int minute) {
   for (const patience_rule& rule : terms.patience) {
     if (rule.service == service && Covers(rule, minute)) return rule.deadline;
   }
@@ -44,7 +45,7 @@
                            wall_time wall_now, monotonic_time now,
                            std::optional<duration> requested) {
   const int minute = MinuteOfDay(terms.time_zone, wall_now);
-  duration timeout = ContractDeadline(terms, service, minute);
+  duration timeout = ContractTimeout(terms, service, minute);
   if (requested) timeout = std::clamp(*requested, duration(), timeout);
   return now + timeout;
 }
--- a/src/policy/shift_ramp.cc
+++ b/src/policy/shift_ramp.cc
@@ -39,7 +39,7 @@
   const duration span = options_.window + options_.permit_lifetime;
   while (!grants_.empty() && now - grants_.front().at > span) {
     const grant& old = grants_.front();
-    granted_ -= old.count;
+    total_granted_ -= old.count;
     senders_[old.sender].granted -= old.count;
     grants_.pop_front();
   }
@@ -74,12 +74,12 @@
   s.demand += std::max(0, wanted);
   s.requested_at = now;
   const int room =
-      std::min(budget - granted_, FairShare(sender, budget) - s.granted);
+      std::min(budget - total_granted_, FairShare(sender, budget) - s.granted);
   const int count = std::clamp(room, 0, std::max(0, wanted));
   last_request_at_ = now;
   if (count > 0) {
     s.granted += count;
-    granted_ += count;
+    total_granted_ += count;
     grants_.push_back({now, sender, count});
   }
   return {count, options_.permit_lifetime};
--- a/src/policy/upstream_chooser.cc
+++ b/src/policy/upstream_chooser.cc
@@ -12,19 +12,19 @@
 //
 // A reported load lags by up to seconds and reaches all senders at once, so a
 // choice by reported load sends all traffic to the server that was idle a
-// moment ago. The count of requests that this process has in flight is exact
-// because no other process sends to its upstreams. A report may therefore only
-// lower the slots of a server, as other callers may still have requests there
-// after a change of owner. At least one slot stays: a server that always
-// reports itself full would otherwise never be used again, and a full server
-// refuses anyway.
+// moment ago. The in-flight count of this process is exact, as only the owner
+// sends new requests to an upstream. A report may therefore only lower the
+// slots of a server, because other callers may still have requests there after
+// a change of owner. A reported load leaves at least one slot: a server that
+// always reports itself full would otherwise never be used again, and a full
+// server refuses anyway.
 
 // Longest lag of a report. Requests of this process that ended within this time
 // may still be in the report and must not count as load of other callers.
 constexpr duration kReportLag = std::chrono::seconds(2);
 
-// A refusal as full overrides the local count. The server is limited to the
-// requests that it had in flight then, plus one slot for each step that passes.
+// After a refusal as full, the slots of the server are limited to the requests
+// of this process that were in flight there, plus one slot for each step since.
 // A step is about the time of a few look-ups, so a full server receives a few
 // trial requests a second.
 constexpr duration kShedRecoveryStep = std::chrono::milliseconds(250);
@@ -47,22 +47,27 @@
 
 // Errors return faster than work is done, so a server that returns only errors
 // looks the least loaded and attracts all traffic. A server is ejected if it
-// fails at least half of its requests and at least twice as many as its peers.
-// When all servers fail alike, the requests are at fault, and ejections would
-// make it worse.
+// fails at least half of its requests and at least at twice the rate of its
+// peers. When all servers fail alike, the requests are at fault, and ejections
+// would make it worse.
 constexpr double kFailureRateToEject = 0.5;
 constexpr double kFailureRateOverPeersToEject = 2.0;
 
-// A slow server holds a slot of the queue for each request that it prolongs,
-// and its callers miss their deadlines. Below four times the slowness of its
-// peers a server is not ejected and only gets less traffic by its score. Single
-// answers reach four times by the spread of service times; the mean of the last
-// few doesn't.
+// A slow server occupies a slot longer for each request, so the queue gets
+// fewer slots and callers miss their deadlines. A server below four times the
+// slowness of its peers is not ejected for slowness and only gets less traffic
+// by its score. Single answers reach four times by the spread of service times;
+// the mean of the last few doesn't. In probation the limit applies to the
+// slowness of each single outcome, without the peers.
 constexpr double kSlownessOverPeersToEject = 4.0;
+// Smallest weight of a new outcome in the smoothed failure rate and slowness.
 constexpr double kSmoothingGain = 0.2;
+// Outcomes of a server before it may be ejected for slowness or errors, or
+// counts as a peer.
 constexpr int kMinSamplesToEject = 5;
 
-// Successful answers in a row that reinstate an ejected server.
+// Outcomes in a row, neither failed nor slow, that reinstate a server in
+// probation.
 constexpr int kProbationSuccesses = 2;
 
 // Slowness above which the score of a server gets worse, so that the server
@@ -148,7 +153,8 @@
   }
   s.report = report;
   s.reported_at = now;
-  // Computed on receipt: requests sent later can't be in this report.
+  // The load of other callers is computed on receipt: requests sent later can't
+  // be in this report.
   const int own_peak = std::max(s.peak_in_flight, s.previous_peak_in_flight);
   s.other_callers_load =
       std::max(0, report.in_flight + report.queued - own_peak);
@@ -156,8 +162,10 @@
 
 void upstream_chooser::UpdatePeakInFlight(state& s, monotonic_time now) {
   if (now - s.peak_period_start >= kReportLag) {
-    const bool idle_period = now - s.peak_period_start >= 2 * kReportLag;
-    s.previous_peak_in_flight = idle_period ? s.in_flight : s.peak_in_flight;
+    const bool no_events_in_last_period =
+        now - s.peak_period_start >= 2 * kReportLag;
+    s.previous_peak_in_flight =
+        no_events_in_last_period ? s.in_flight : s.peak_in_flight;
     s.peak_in_flight = 0;
     s.peak_period_start = now;
   }
@@ -178,8 +186,9 @@
   return !s.ejected || now >= s.ejected_until;
 }
 
-// A started server has cold caches and few warm connections. Its full share at
-// once makes it slow for all requests and may get it ejected.
+// Returns the slots that the ramp allows. A server that has just started has
+// cold caches and few warm connections. Its full share at once makes it slow
+// for all requests and may get it ejected.
 int upstream_chooser::RampedSlots(const state& s, monotonic_time now) const {
   const int slots = std::min(s.capacity.slots, s.capacity.max_connections);
   if (!s.ramping) return slots;
@@ -211,7 +220,8 @@
 // scaled up for a slow server. Lower is better.
 double upstream_chooser::Score(const state& s, int allowed) const {
   const double used_fraction = (s.in_flight + 1.0) / allowed;
-  return used_fraction * std::max(1.0, s.slowness / kSlownessToPenalize);
+  return used_fraction *
+         std::max(1.0, s.smoothed_slowness / kSlownessToPenalize);
 }
 
 std::optional<upstream_id> upstream_chooser::Choose(
@@ -227,7 +237,7 @@
     if (best != nullptr && score > best_score) continue;
     ties = best != nullptr && score == best_score ? ties + 1 : 1;
     // Ties are broken at random with equal probability; otherwise the first
-    // upstream by name would always be the warmest.
+    // upstream by name would always get the first request and be the warmest.
     if (ties == 1 || random(ties) == 0) best = &id;
     best_score = score;
   }
@@ -270,8 +280,9 @@
     return;
   }
   UpdateStatistics(s, outcome, slowness);
-  // Crashes and refused connections are certain, and further requests to the
-  // server are lost work. Slowness and errors are compared with the peers.
+  // Crashes and refused connections are certain signs, and further requests to
+  // the server would be lost work, so they eject without a comparison. Slowness
+  // and errors are compared with the peers.
   if (s.hard_failures_in_row >= kHardFailuresToEject) {
     Eject(s, kFirstHardFailureEjection, kLongestHardFailureEjection, now);
   } else if (MayEjectForQuality() && IsWorseThanPeers(s)) {
@@ -288,9 +299,10 @@
   const double gain = std::max(kSmoothingGain, 1.0 / s.samples);
   s.failure_rate += gain * ((failed ? 1.0 : 0.0) - s.failure_rate);
   // The time of an error tells nothing about the time that work takes.
-  const bool timed =
+  const bool has_work_time =
       !IsHardFailure(outcome) && outcome != upstream_outcome::kServerError;
-  if (timed) s.slowness += gain * (slowness - s.slowness);
+  if (has_work_time)
+    s.smoothed_slowness += gain * (slowness - s.smoothed_slowness);
 }
 
 // Handles an outcome of an ejected server. In probation the server gets one
@@ -299,7 +311,8 @@
                                                upstream_outcome outcome,
                                                double slowness,
                                                monotonic_time now) {
-  if (now < s.ejected_until) return;  // Sent before the ejection.
+  // The request was sent before the ejection.
+  if (now < s.ejected_until) return;
   const bool slow = slowness >= kSlownessOverPeersToEject;
   if (IsHardFailure(outcome)) {
     Eject(s, kFirstHardFailureEjection, kLongestHardFailureEjection, now);
@@ -320,22 +333,23 @@
     const bool counts = &peer != &s && peer.owned && !peer.ejected &&
                         peer.samples >= kMinSamplesToEject;
     if (!counts) continue;
-    slowness.push_back(peer.slowness);
+    slowness.push_back(peer.smoothed_slowness);
     failures.push_back(peer.failure_rate);
   }
   if (slowness.empty()) return false;
-  // A server that has just started is expected to be slow.
-  const bool slow =
-      s.slowness >= kSlownessOverPeersToEject * Median(std::move(slowness));
+  // A ramping server is expected to be slow and is not ejected for it.
+  const bool slow = s.smoothed_slowness >=
+                    kSlownessOverPeersToEject * Median(std::move(slowness));
   if (slow && !s.ramping) return true;
   return s.failure_rate >= kFailureRateToEject &&
          s.failure_rate >=
              kFailureRateOverPeersToEject * Median(std::move(failures));
 }
 
-// Returns whether one more server may be ejected for slowness or errors. At
-// most half of the servers are ejected, or the load of the ejected servers
-// would overload the rest.
+// Returns whether one more server may be ejected for slowness or errors. Such
+// ejections leave half of the servers in use, whatever their outcomes, or the
+// load of the ejected servers would overload the rest. Ejections for hard
+// failures are not limited.
 bool upstream_chooser::MayEjectForQuality() const {
   int owned = 0;
   int ejected = 0;
@@ -352,6 +366,7 @@
   const bool had_stable_period =
       !s.ejected && now - s.reinstated_at > options_.longest_ejection;
   if (had_stable_period) s.consecutive_ejections = 0;
+  // The time doubles with each consecutive ejection, up to `longest`.
   const double factor = std::exp2(std::min(s.consecutive_ejections, 16));
   const duration time = FromSeconds(ToSeconds(first) * factor);
   s.ejected = true;
@@ -367,7 +382,7 @@
   s.ramp_start = now;
   s.hard_failures_in_row = 0;
   s.failure_rate = 0;
-  s.slowness = 1;
+  s.smoothed_slowness = 1;
   s.samples = 0;
 }
 
@@ -425,8 +440,8 @@
     if (!s.owned || s.draining) continue;
     consider(s.leaving_until);
     if (s.ejected) consider(s.ejected_until);
-    // Ramping and shedding servers gain slots step by step, so one check for
-    // each step suffices.
+    // While a server ramps up or recovers from a refusal as full, its slots
+    // grow step by step, and one check for each step suffices.
     const bool growing = s.ramping || s.shed_at;
     if (growing && AllowedSlots(s, now) < s.capacity.slots) {
       consider(now + kShedRecoveryStep);
--- a/tests/policy/drain_tracker_test.cc
+++ b/tests/policy/drain_tracker_test.cc
@@ -9,10 +9,10 @@
 
 monotonic_time At(double ms) { return monotonic_time() + FromMilliseconds(ms); }
 
-// The operator drains an upstream while three requests run there, and some
-// time later the upstream itself reports that it is leaving. The operator waits
-// for the last request and would remove the upstream too early if the second
-// sign restarted the measurement.
+// The operator drains an upstream while three requests run there, and some time
+// later the upstream itself reports that it is leaving. If the second sign
+// restarted the measurement, the drain time would be too short, and an operator
+// who relies on it would remove the upstream before the last request has ended.
 BOOST_AUTO_TEST_CASE(CountsFromTheFirstSignToTheLastRequest) {
   drain_tracker tracker;
   BOOST_TEST(!tracker.Observe(kUpstream, false, 3, At(0)).has_value());
--- a/tests/policy/shift_ramp_test.cc
+++ b/tests/policy/shift_ramp_test.cc
@@ -47,7 +47,8 @@
     const double cap = ramp.CapAt(monotonic_time(arrivals[last]));
     BOOST_TEST_REQUIRE(static_cast<double>(last - first + 1) <= cap);
   }
-  // The rest of the cap is lost to permits that outlive the window.
+  // The limit for window + lifetime leaves four fifths of the cap, or 80 per
+  // second. The rest is the cost of permits that may be used after the window.
   const auto late =
       std::lower_bound(arrivals.begin(), arrivals.end(), duration(seconds(30)));
   BOOST_TEST((arrivals.end() - late) / 30.0 > 75);
--- a/tests/policy/zone_simulation.h
+++ b/tests/policy/zone_simulation.h
@@ -78,7 +78,7 @@
   duration burst_from{};
   duration burst_to{};
   int asks = 1;          // Most attempts of a caller whose request is rejected.
-  duration ask_again{};  // Pause between attempts; 0 follows the refusal.
+  duration ask_again{};  // Pause between attempts; 0: until the refusal's time.
   bool crashes = false;  // Identical requests; each crashes its upstream.
 };
 
@@ -86,7 +86,7 @@
   upstream_capacity capacity;
   double slowness = 1;
   bool fails_fast = false;        // Returns errors after 1 ms.
-  bool queues_when_full = false;  // Sheds otherwise.
+  bool queues_when_full = false;  // If false, refuses requests when full.
   int foreign_work = 0;           // Slots taken by other callers.
   bool says_idle = false;  // Reports itself idle and ready, whatever its state.
 };
@@ -109,6 +109,7 @@
   int sheds = 0;
   int crashes = 0;
   int refused_after_deadline = 0;
+  // Most requests over the slots of an upstream, before shedding.
   int most_over_slots = 0;
 
   int Good() const {
@@ -180,7 +181,8 @@
     loads_.push_back(std::make_unique<simulated_load>(load));
     NextArrival(*loads_.back(), random_());
   }
-  // Callers that arrive before `skip` are simulated but not counted.
+  // Callers that arrive before `skip` are simulated but counted only in
+  // `crashes`, `refused_after_deadline` and `most_over_slots`.
   simulation_result Run(duration time, duration skip = {}) {
     skip_ = skip;
     end_ = time;
@@ -196,7 +198,7 @@
     duration service{};
     std::size_t owner = 0;
     int attempts = 0;
-    int generation = 0;  // Invalidates end events of earlier sends.
+    int generation = 0;  // End events of earlier generations are ignored.
     upstream_id upstream;
   };
   struct upstream_state {
@@ -211,8 +213,8 @@
   double ExponentialVariate() { return -std::log(UniformVariate()); }
 
   void NextArrival(const simulated_load& load, std::uint32_t salt) {
-    // Arrivals at the highest rate are thinned, so that a burst starts
-    // abruptly.
+    // Arrivals are drawn at the highest rate and dropped at random while the
+    // rate is lower, so that the rate changes at once when a burst starts.
     const double peak = load.rate_per_s * std::max(1.0, load.burst_factor);
     const duration at =
         loop_.Elapsed() + FromSeconds(ExponentialVariate() / peak);
@@ -465,6 +467,7 @@
 inline std::vector<simulated_load> LookupLoads(double rate_per_s,
                                                duration patience) {
   std::vector<simulated_load> loads;
+  // The sum is 23.
   const std::vector<double> relative_rates = {8, 6, 4, 1, 1, 1, 1, 1};
   for (std::size_t i = 0; i < relative_rates.size(); ++i) {
     simulated_load load;
