--- a/include/citron/policy/admission_wait.h
+++ b/include/citron/policy/admission_wait.h
@@ -14,59 +14,60 @@
 
 namespace citron {
 
-// A request that waits, for the one who let it wait.
+// Identifies a waiting request to the caller of `TryWait`.
 enum class wait_ticket : std::uint64_t {};
 
 struct admission_wait_options {
-  // A round trip to the farthest region and back, with some spare. At an entry
-  // that has just started it counts from when its own share begins.
+  // A round trip to the farthest region, with some reserve. At an entry that
+  // has just started the time counts from when the entry's share begins.
   duration longest_wait = std::chrono::milliseconds(150);
-  // Of one workspace at one time, however small its rate.
+  // Requests of one workspace that may wait at a time, however small its rate.
   std::size_t max_waiting = 16;
 };
 
-// Where a token for one more request of a workspace may come from.
+// Possible sources of a token for one more request of a workspace.
 struct token_prospects {
-  // Tokens of other entries may be on their way.
+  // Whether tokens of other entries may arrive.
   bool may_borrow = false;
-  // When the rate that this entry has will have made one, behind those for the
-  // requests that wait already.
+  // When this entry's rate will have refilled a token, after the tokens for the
+  // requests that already wait.
   std::optional<monotonic_time> own_token_at;
   double contract_rate_per_s = 0;
-  // Of an entry that has just started: when its own share begins.
+  // Set at an entry that has just started: when the entry's share begins.
   std::optional<monotonic_time> share_begins_at;
 };
 
-// Requests that came when this entry had no token of their workspace, while one
-// is in sight: of its own rate, or of others'.
+// Holds requests that arrived when this entry had no token of their workspace
+// while one is expected, from the entry's rate or from other entries.
 //
-// Load pattern: a workspace whose contract is small against the number of VMs:
-// each VM's part of the burst is less than one token, so that a request in its
-// rate finds none wherever it arrives, and would be refused although the fleet
-// as a whole has tokens. Demand that moves to another zone: the loans that
-// follow it are a round trip late. A bucket that is empty for a moment: its
-// next token is a millisecond away, and a refusal would tell the caller to come
-// back after 0 ms. And a VM that has just started, whose share has yet to
-// begin. One round trip is much shorter than the second after which the caller
-// would ask again.
+// Load pattern: requests within a contract that find no local token. The causes
+// are a contract so small that each VM's share of the burst is less than one
+// token, demand that has moved to another zone one round trip ahead of its
+// loans, a bucket whose next token is a millisecond away (a rejection would
+// tell the caller to retry after 0 ms), and a VM that has just started and
+// whose share has yet to begin. Without the wait these requests would be
+// rejected although the fleet has tokens, and the wait of one round trip is
+// much shorter than the second after which a caller would retry.
 //
-// It is bounded by time and by number, and nothing waits that can't be helped:
-// when the own rate makes no token in time and no other VM has anything to
-// lend, the refusal comes at once. More requests than the whole contract lets
-// in during the wait would only come to wait in vain.
+// The wait is bounded in time and number. A request is rejected at once if the
+// entry's rate refills no token in time and no other VM has any to lend. At
+// most as many requests wait as the whole contract admits during the wait, with
+// a floor of `max_waiting`; more would wait in vain.
 class admission_wait {
  public:
   explicit admission_wait(admission_wait_options options);
 
-  // Whether the request may wait. Not when others are refused for certain.
+  // Adds the request and returns true if a token may arrive in time and the
+  // number of waiting requests is below the bound; otherwise returns false.
   bool TryWait(const workspace_id& workspace, wait_ticket ticket,
                const token_prospects& prospects, monotonic_time now,
                monotonic_time deadline);
 
-  // Lets those in, oldest first, for whom `take_token` finds one.
+  // Removes and returns waiting requests, oldest first, as long as `take_token`
+  // returns true.
   std::vector<wait_ticket> TakeAdmitted(
       const workspace_id& workspace, const std::function<bool()>& take_token);
-  // Those whose time is over, to be refused now.
+  // Removes and returns the requests whose wait has ended, to be rejected.
   std::vector<wait_ticket> TakeExpired(monotonic_time now);
   std::optional<wait_ticket> TakeOldest(const workspace_id& workspace);
   void Remove(const workspace_id& workspace, wait_ticket ticket);
@@ -74,20 +75,20 @@
   bool IsEmpty() const { return waiting_.empty(); }
   std::size_t Waiting(const workspace_id& workspace) const;
   std::vector<workspace_id> Workspaces() const;
-  // When the first token that somebody waits for should be there, if that was
-  // foreseen.
+  // Returns the earliest expected time after `now` of a token for the oldest
+  // waiting request of any workspace, if one is expected.
   std::optional<monotonic_time> NextTokenAt(monotonic_time now) const;
 
  private:
   struct waiting_request {
     wait_ticket ticket{};
-    monotonic_time give_up_at;
+    monotonic_time wait_ends_at;
     std::optional<monotonic_time> token_at;
   };
 
-  monotonic_time GiveUpAt(const token_prospects& prospects, monotonic_time now,
-                          monotonic_time deadline) const;
-  std::size_t MostWaiting(double contract_rate_per_s) const;
+  monotonic_time WaitEnd(const token_prospects& prospects, monotonic_time now,
+                         monotonic_time deadline) const;
+  std::size_t MaxWaiting(double contract_rate_per_s) const;
 
   admission_wait_options options_;
   std::unordered_map<workspace_id, std::deque<waiting_request>> waiting_;
--- a/include/citron/policy/poison_registry.h
+++ b/include/citron/policy/poison_registry.h
@@ -12,16 +12,17 @@
 
 namespace citron {
 
-// A crash of an upstream, as far as one process could see it.
+// An upstream crash as observed by one process.
 struct upstream_crash {
   upstream_id upstream;
   monotonic_time at{};
 };
 
-// Remembers which requests were in flight when upstreams crashed.
+// Records which requests were in flight when upstreams crashed and convicts
+// those that cause the crashes.
 class poison_registry {
  public:
-  // How long a verdict or a suspicion holds.
+  // `lifetime`: how long a conviction or a suspicion lasts.
   explicit poison_registry(duration lifetime);
 
   enum class standing { kClear, kSuspect, kPoison };
@@ -29,27 +30,31 @@
   standing Of(std::uint64_t fingerprint, monotonic_time now) const;
   monotonic_time Until(std::uint64_t fingerprint) const;
 
-  // The request, sent at `sent_at`, was in flight when the upstream crashed.
-  // Fingerprint 0 stands for an unknown one and is never held against anyone.
-  // `kept_apart`: no other suspect was sent there, so that it alone can be the
-  // cause. Returns the standing after it.
+  // Records that the request, sent at `sent_at`, was in flight when the
+  // upstream crashed, and returns its new standing. Fingerprint 0 means unknown
+  // and is never suspected. `was_isolated`: no other suspect was sent to that
+  // upstream, so a second crash convicts this request.
   standing OnCrash(std::uint64_t fingerprint, const upstream_id& upstream,
                    monotonic_time sent_at, monotonic_time now,
-                   bool kept_apart = true);
-  // The same, but it proves nothing beyond the suspicion.
+                   bool was_isolated = true);
+  // Extends an existing suspicion or conviction after a crash that isn't
+  // evidence against this request.
   void OnUnprovenCrash(std::uint64_t fingerprint, monotonic_time now);
-  // A copy was answered, so it doesn't crash upstreams.
+  // Records that a request with this fingerprint was answered, which clears a
+  // suspicion but not a conviction.
   void OnAnswered(std::uint64_t fingerprint, monotonic_time now);
-  // Some request that was sent to the upstream at `sent_at` was answered, so
-  // the upstream hasn't crashed since.
+  // Withdraws the crashes that are refuted by an answer to any request that was
+  // sent to the upstream at `sent_at`: the upstream hasn't crashed since then.
   void OnAlive(const upstream_id& upstream, monotonic_time sent_at,
                monotonic_time now);
-  // Another process convicted it, or saw it in flight at a crash.
+  // Records that another process convicted the request, or saw the request in
+  // flight at a crash.
   void OnPoison(std::uint64_t fingerprint, monotonic_time until);
   void OnSuspect(std::uint64_t fingerprint, const upstream_crash& crash,
                  monotonic_time now);
 
-  // A suspect in flight; at most one copy of it, and one suspect an upstream.
+  // Track the suspects in flight. Callers send at most one request of a suspect
+  // fingerprint at a time, and at most one suspect to each upstream.
   bool MaySend(std::uint64_t fingerprint) const;
   bool HoldsSuspect(const upstream_id& upstream) const;
   void AddUpstreamsWithSuspects(std::vector<upstream_id>& upstreams) const;
@@ -68,7 +73,10 @@
     bool Has(const upstream_crash& crash) const;
   };
 
-  bool HasRival(std::uint64_t fingerprint, const record& r) const;
+  // Returns whether another request was in flight at all crashes of `r`, so
+  // that either may have caused them.
+  bool SharesCrashesWithAnother(std::uint64_t fingerprint,
+                                const record& r) const;
   bool WasAnsweredBefore(std::uint64_t fingerprint,
                          monotonic_time crash_at) const;
 
@@ -76,7 +84,7 @@
   recent_answers answers_;
   std::unordered_map<std::uint64_t, record> records_;
   std::map<std::uint64_t, int> in_flight_;
-  std::map<upstream_id, int> suspects_at_;
+  std::map<upstream_id, int> upstream_suspects_;
 };
 
 }  // namespace citron
--- a/src/policy/admission_wait.cc
+++ b/src/policy/admission_wait.cc
@@ -7,12 +7,12 @@
 admission_wait::admission_wait(admission_wait_options options)
     : options_(options) {}
 
-// Load pattern: callers of a VM that has just started. Refused until its share
-// begins, they would be turned away inside their contract for seconds. One
-// whose deadline comes before that waits for what others lend alone.
-monotonic_time admission_wait::GiveUpAt(const token_prospects& prospects,
-                                        monotonic_time now,
-                                        monotonic_time deadline) const {
+// Load pattern: callers of a VM that has just started. Without a wait until the
+// VM's share begins, they would be rejected within their contract for seconds.
+// A request whose deadline comes before that waits only for loans.
+monotonic_time admission_wait::WaitEnd(const token_prospects& prospects,
+                                       monotonic_time now,
+                                       monotonic_time deadline) const {
   monotonic_time from = now;
   if (prospects.share_begins_at && *prospects.share_begins_at < deadline) {
     from = std::max(now, *prospects.share_begins_at);
@@ -23,21 +23,22 @@
 bool admission_wait::TryWait(const workspace_id& workspace, wait_ticket ticket,
                              const token_prospects& prospects,
                              monotonic_time now, monotonic_time deadline) {
-  const monotonic_time give_up_at = GiveUpAt(prospects, now, deadline);
+  const monotonic_time wait_ends_at = WaitEnd(prospects, now, deadline);
   const std::optional<monotonic_time>& token_at = prospects.own_token_at;
-  const bool has_own = token_at && *token_at < give_up_at;
-  if (give_up_at <= now) return false;
-  if (!has_own && !prospects.may_borrow) return false;
-  if (Waiting(workspace) >= MostWaiting(prospects.contract_rate_per_s)) {
+  const bool gets_local_token = token_at && *token_at < wait_ends_at;
+  if (wait_ends_at <= now) return false;
+  if (!gets_local_token && !prospects.may_borrow) return false;
+  if (Waiting(workspace) >= MaxWaiting(prospects.contract_rate_per_s)) {
     return false;
   }
-  waiting_[workspace].push_back({ticket, give_up_at, token_at});
+  waiting_[workspace].push_back({ticket, wait_ends_at, token_at});
   return true;
 }
 
-std::size_t admission_wait::MostWaiting(double contract_rate_per_s) const {
-  const double let_in = contract_rate_per_s * ToSeconds(options_.longest_wait);
-  return std::max(options_.max_waiting, static_cast<std::size_t>(let_in));
+std::size_t admission_wait::MaxWaiting(double contract_rate_per_s) const {
+  const double admitted =
+      contract_rate_per_s * ToSeconds(options_.longest_wait);
+  return std::max(options_.max_waiting, static_cast<std::size_t>(admitted));
 }
 
 std::vector<wait_ticket> admission_wait::TakeAdmitted(
@@ -59,9 +60,9 @@
   for (auto it = waiting_.begin(); it != waiting_.end();) {
     std::deque<waiting_request>& waiting = it->second;
     std::erase_if(waiting, [&](const waiting_request& request) {
-      const bool is_over = now >= request.give_up_at;
-      if (is_over) taken.push_back(request.ticket);
-      return is_over;
+      const bool has_ended = now >= request.wait_ends_at;
+      if (has_ended) taken.push_back(request.ticket);
+      return has_ended;
     });
     it = waiting.empty() ? waiting_.erase(it) : std::next(it);
   }
@@ -100,8 +101,8 @@
   return workspaces;
 }
 
-// A time that has passed foresaw what didn't come; that request is looked at
-// with the driver's timer.
+// Skips an expected time that has passed without a token; the driver's timer
+// handles that request.
 std::optional<monotonic_time> admission_wait::NextTokenAt(
     monotonic_time now) const {
   std::optional<monotonic_time> next;
--- a/src/policy/poison_registry.cc
+++ b/src/policy/poison_registry.cc
@@ -5,54 +5,59 @@
 namespace citron {
 namespace {
 
-// An answer from before a crash may be read after the loss of another
-// connection was. Within a zone it is there in a few milliseconds.
-constexpr duration kOvertaking = std::chrono::milliseconds(20);
-// Two processes tell of one crash at moments no further apart than this; an
-// upstream takes longer to start again.
-constexpr duration kOneCrash = std::chrono::milliseconds(100);
-// A request that was answered this shortly before a crash didn't cause it. The
-// time is short, as data may change so that a good request begins to crash.
-constexpr duration kRecentAnswer = std::chrono::seconds(2);
-constexpr std::size_t kRecentAnswers = 4096;
-
-bool IsSame(const upstream_crash& a, const upstream_crash& b) {
+// An answer sent before a crash may be read after the loss of another
+// connection has been seen. Within a zone such an answer arrives in a few
+// milliseconds.
+constexpr duration kAnswerReorderWindow = std::chrono::milliseconds(20);
+// Reports of two processes about one crash differ in time by at most this much;
+// an upstream takes longer to restart.
+constexpr duration kSameCrashWindow = std::chrono::milliseconds(100);
+// A request that was answered within this time before a crash didn't cause the
+// crash and isn't suspected. The time is short because a data change can turn a
+// harmless request into one that crashes upstreams.
+constexpr duration kRecentAnswerWindow = std::chrono::seconds(2);
+constexpr std::size_t kRecentAnswersSize = 4096;
+
+bool IsSameCrash(const upstream_crash& a, const upstream_crash& b) {
   const duration apart = a.at < b.at ? b.at - a.at : a.at - b.at;
-  return a.upstream == b.upstream && apart <= kOneCrash;
+  return a.upstream == b.upstream && apart <= kSameCrashWindow;
 }
 
-bool IsRefutedBy(const upstream_crash& crash, const upstream_id& alive,
-                 monotonic_time sent_at, monotonic_time now) {
+bool IsRefutedByAnswer(const upstream_crash& crash, const upstream_id& alive,
+                       monotonic_time sent_at, monotonic_time now) {
   return crash.upstream == alive && sent_at < crash.at &&
-         now - crash.at >= kOvertaking;
+         now - crash.at >= kAnswerReorderWindow;
 }
 
 }  // namespace
 
-// Load pattern: a single request that crashes each upstream that runs it, and
-// whose caller sends it again, beside requests that many callers send alike.
+// Load pattern: a single request that crashes each upstream that runs it and
+// that its caller retries, alongside other requests that many callers send in
+// identical form. Without a conviction the retries crash one upstream after
+// another.
 //
-// Two crashes are the fewest that tell a request that kills from a server that
-// died by itself. At a crash every request in flight there is under suspicion,
-// also those that merely shared the server. If two of them met again on one
-// server, the second crash would convict both. So a suspect is sent only where
-// no other suspect runs, and one copy at a time: at the second crash just one
-// fingerprint has been at both. An answer clears a suspect at once.
+// Two crashes are the fewest that distinguish a poison request from an upstream
+// that crashed by itself. At a crash every request in flight at the upstream
+// becomes a suspect, including requests that merely shared the upstream. If two
+// suspects met again at one upstream, the second crash would convict both.
+// Therefore a suspect is sent only to an upstream without another suspect, and
+// only one request of a fingerprint at a time: at the second crash just one
+// fingerprint was present at both. An answer clears a suspect at once.
 //
 // A connection can also be lost without a crash. If another request that was in
-// flight there at the time is answered later, the upstream hadn't crashed, and
-// what was held against the first one is taken back. What this doesn't tell
-// apart is two different killers at the same time: a suspect that shares a
-// server with a second, still unknown killer is refused in its place until the
-// lifetime ends.
+// flight at the upstream at that time is answered later, the upstream didn't
+// crash, and the crash is withdrawn from all suspects. Limitation: two
+// different poison requests at the same time can't be distinguished. A suspect
+// that shares an upstream with a second, still unknown poison request is
+// refused instead of that request until the lifetime ends.
 
 poison_registry::poison_registry(duration lifetime)
-    : lifetime_(lifetime), answers_(kRecentAnswers) {}
+    : lifetime_(lifetime), answers_(kRecentAnswersSize) {}
 
 bool poison_registry::record::Has(const upstream_crash& crash) const {
   return std::any_of(
       crashes.begin(), crashes.end(),
-      [&](const upstream_crash& known) { return IsSame(known, crash); });
+      [&](const upstream_crash& known) { return IsSameCrash(known, crash); });
 }
 
 poison_registry::standing poison_registry::Of(std::uint64_t fingerprint,
@@ -63,14 +68,14 @@
   }
   const record& r = found->second;
   if (r.convicted) return standing::kPoison;
-  const bool is_told_of_two = r.crashes.size() >= 2;
-  return is_told_of_two && !HasRival(fingerprint, r) ? standing::kPoison
-                                                     : standing::kSuspect;
+  const bool has_two_crashes = r.crashes.size() >= 2;
+  return has_two_crashes && !SharesCrashesWithAnother(fingerprint, r)
+             ? standing::kPoison
+             : standing::kSuspect;
 }
 
-// Another request was at the same crashes, so that either may have caused them.
-bool poison_registry::HasRival(std::uint64_t fingerprint,
-                               const record& r) const {
+bool poison_registry::SharesCrashesWithAnother(std::uint64_t fingerprint,
+                                               const record& r) const {
   return std::any_of(records_.begin(), records_.end(), [&](const auto& other) {
     if (other.first == fingerprint) return false;
     return std::all_of(
@@ -81,7 +86,7 @@
 
 bool poison_registry::WasAnsweredBefore(std::uint64_t fingerprint,
                                         monotonic_time crash_at) const {
-  return answers_.IsAnsweredSince(fingerprint, crash_at - kRecentAnswer);
+  return answers_.IsAnsweredSince(fingerprint, crash_at - kRecentAnswerWindow);
 }
 
 monotonic_time poison_registry::Until(std::uint64_t fingerprint) const {
@@ -93,7 +98,7 @@
                                                    const upstream_id& upstream,
                                                    monotonic_time sent_at,
                                                    monotonic_time now,
-                                                   bool kept_apart) {
+                                                   bool was_isolated) {
   if (fingerprint == 0) return standing::kClear;
   const standing before = Of(fingerprint, now);
   if (before == standing::kClear && WasAnsweredBefore(fingerprint, now)) {
@@ -104,14 +109,14 @@
     r = record{{{upstream, now}}, false, now + lifetime_};
     return standing::kSuspect;
   }
-  // Two copies in flight at one crash are still one crash.
+  // Two requests of one fingerprint in flight at one crash count as one crash.
   const bool same_crash = std::any_of(
       r.crashes.begin(), r.crashes.end(), [&](const upstream_crash& known) {
         return known.upstream == upstream && sent_at <= known.at;
       });
   if (!same_crash && before == standing::kSuspect) {
     r.crashes.push_back({upstream, now});
-    r.convicted = kept_apart;
+    r.convicted = was_isolated;
   }
   r.until = std::max(r.until, now + lifetime_);
   return Of(fingerprint, now);
@@ -131,7 +136,7 @@
     record& r = at->second;
     const std::size_t refuted =
         std::erase_if(r.crashes, [&](const upstream_crash& crash) {
-          return IsRefutedBy(crash, upstream, sent_at, now);
+          return IsRefutedByAnswer(crash, upstream, sent_at, now);
         });
     if (refuted == 0) continue;
     r.convicted = r.convicted && r.crashes.size() >= 2;
@@ -155,8 +160,8 @@
   r.until = std::max(r.until, until);
 }
 
-// The word of a crash may come after this process saw another one: together
-// they are two.
+// The report of a crash may arrive after this process has seen another crash;
+// the two add up.
 void poison_registry::OnSuspect(std::uint64_t fingerprint,
                                 const upstream_crash& crash,
                                 monotonic_time now) {
@@ -174,12 +179,12 @@
 }
 
 bool poison_registry::HoldsSuspect(const upstream_id& upstream) const {
-  return suspects_at_.contains(upstream);
+  return upstream_suspects_.contains(upstream);
 }
 
 void poison_registry::AddUpstreamsWithSuspects(
     std::vector<upstream_id>& upstreams) const {
-  for (const auto& [upstream, count] : suspects_at_) {
+  for (const auto& [upstream, count] : upstream_suspects_) {
     upstreams.push_back(upstream);
   }
 }
@@ -187,13 +192,13 @@
 void poison_registry::OnSuspectSent(std::uint64_t fingerprint,
                                     const upstream_id& upstream) {
   ++in_flight_[fingerprint];
-  ++suspects_at_[upstream];
+  ++upstream_suspects_[upstream];
 }
 
 void poison_registry::OnSuspectDone(std::uint64_t fingerprint,
                                     const upstream_id& upstream) {
   if (--in_flight_[fingerprint] <= 0) in_flight_.erase(fingerprint);
-  if (--suspects_at_[upstream] <= 0) suspects_at_.erase(upstream);
+  if (--upstream_suspects_[upstream] <= 0) upstream_suspects_.erase(upstream);
 }
 
 void poison_registry::Expire(monotonic_time now) {
--- a/tests/policy/admission_wait_test.cc
+++ b/tests/policy/admission_wait_test.cc
@@ -7,18 +7,18 @@
 
 const workspace_id kPenco("penco");
 const monotonic_time kStart{FromSeconds(100)};
+// A deadline after the end of each wait.
 const monotonic_time kFar = kStart + FromSeconds(5);
 
 constexpr token_prospects kMayBorrow{true, std::nullopt, 0};
-constexpr token_prospects kNothing{false, std::nullopt, 0};
+constexpr token_prospects kNoTokenExpected{false, std::nullopt, 0};
 
 wait_ticket Id(int n) { return wait_ticket(n); }
 int NumberOf(wait_ticket ticket) { return static_cast<int>(ticket); }
 
-// A small workspace's part of its burst is less than one token at each of many
-// VMs. A planner in the morning sends one request and is refused although the
-// workspace has hardly been used.
-BOOST_AUTO_TEST_CASE(WaitingRequestIsLetInWhenATokenArrives) {
+// Guards against the rejection of a single request of a small, idle workspace:
+// with many VMs each VM's share of the burst is less than one token.
+BOOST_AUTO_TEST_CASE(WaitingRequestIsAdmittedWhenATokenArrives) {
   admission_wait wait({});
   BOOST_TEST(wait.TryWait(kPenco, Id(1), kMayBorrow, kStart, kFar));
   BOOST_TEST(wait.TryWait(kPenco, Id(2), kMayBorrow, kStart, kFar));
@@ -30,18 +30,18 @@
   BOOST_TEST(wait.Workspaces().size() == 1u);
 }
 
-// A workspace over its rate keeps asking. Nobody has anything to lend, and a
-// caller that was held back would only learn later that it has to come back.
-BOOST_AUTO_TEST_CASE(NothingWaitsInVain) {
+// Guards against a needless wait: a workspace over its rate keeps sending and
+// no entry has tokens to lend, so a wait would only delay the rejection.
+BOOST_AUTO_TEST_CASE(NothingWaitsWithoutAnExpectedToken) {
   admission_wait wait({});
-  BOOST_TEST(!wait.TryWait(kPenco, Id(1), kNothing, kStart, kFar));
+  BOOST_TEST(!wait.TryWait(kPenco, Id(1), kNoTokenExpected, kStart, kFar));
   BOOST_TEST(wait.Workspaces().empty());
 }
 
-// A VM has just started and its bucket is empty. A clerk's request finds none
-// of the thousand tokens a second, and a refusal would tell her desk to ask
-// again in 0 ms; the next token is there before that refusal would be read.
-BOOST_AUTO_TEST_CASE(RequestWaitsForTheNextTokenOfTheOwnRate) {
+// Guards against a rejection that asks for a retry after 0 ms: the bucket of a
+// VM that has just started is empty, but at a thousand tokens a second the next
+// token arrives before the caller would read the rejection.
+BOOST_AUTO_TEST_CASE(RequestWaitsForTheNextTokenOfTheLocalRate) {
   admission_wait wait({});
   const monotonic_time soon = kStart + FromMilliseconds(1);
   BOOST_TEST(wait.TryWait(kPenco, Id(1), {false, soon, 1000}, kStart, kFar));
@@ -49,8 +49,8 @@
   BOOST_TEST(!wait.NextTokenAt(soon).has_value());
 }
 
-// Guards against callers of a VM that has just started who are refused inside
-// their contract until its share begins.
+// Guards against callers of a VM that has just started being rejected within
+// their contract until the VM's share begins.
 BOOST_AUTO_TEST_CASE(RequestWaitsForTheShareOfAStartedEntry) {
   admission_wait wait({});
   const monotonic_time begins = kStart + FromSeconds(2);
@@ -61,7 +61,8 @@
   BOOST_TEST(wait.TakeExpired(begins + FromMilliseconds(150)).size() == 1u);
 }
 
-// Guards against a caller who is held back until its deadline.
+// Guards against a request that waits until its deadline for a share that
+// begins after the deadline.
 BOOST_AUTO_TEST_CASE(NothingWaitsForAShareThatBeginsAfterItsDeadline) {
   admission_wait wait({});
   const monotonic_time begins = kStart + FromSeconds(2);
@@ -73,8 +74,8 @@
   BOOST_TEST(wait.TakeExpired(kStart + FromMilliseconds(150)).size() == 1u);
 }
 
-// The own rate makes a token only after the caller's deadline, or after the
-// time for which anything may wait.
+// The local rate refills a token only after the caller's deadline or after the
+// longest wait.
 BOOST_AUTO_TEST_CASE(NothingWaitsForATokenThatComesTooLate) {
   admission_wait wait({});
   const monotonic_time late = kStart + FromMilliseconds(150);
@@ -84,9 +85,10 @@
   BOOST_TEST(!wait.TryWait(kPenco, Id(1), kMayBorrow, kStart, kStart));
 }
 
-// The demand of a large workspace has moved here and its loans are under way.
-// As many wait as the contract lets in meanwhile, and no more.
-BOOST_AUTO_TEST_CASE(AsManyWaitAsTheContractLetsInMeanwhile) {
+// The demand of a large workspace has moved to this entry and its loans are in
+// flight. As many requests wait as the contract admits in the meantime, and no
+// more.
+BOOST_AUTO_TEST_CASE(AsManyWaitAsTheContractAdmitsDuringTheWait) {
   admission_wait wait({});
   const token_prospects large{true, std::nullopt, 400};
   int waiting = 0;
@@ -120,7 +122,7 @@
   BOOST_TEST(NumberOf(late[0]) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(CallerThatHangsUpWaitsNoMore) {
+BOOST_AUTO_TEST_CASE(RemovedRequestWaitsNoMore) {
   admission_wait wait({});
   wait.TryWait(kPenco, Id(1), kMayBorrow, kStart, kFar);
   wait.Remove(kPenco, Id(1));
--- a/tests/policy/poison_registry_test.cc
+++ b/tests/policy/poison_registry_test.cc
@@ -23,9 +23,9 @@
   BOOST_TEST((registry.Of(7, kNow + seconds(60)) == standing::kClear));
 }
 
-// Two copies of a look-up were in flight when one server crashed. That is one
-// crash; the same server crashing again is another.
-BOOST_AUTO_TEST_CASE(TwoCopiesAtOneCrashAreOne) {
+// Two identical requests in flight at one crash count as one crash; a later
+// crash of the same upstream counts as another.
+BOOST_AUTO_TEST_CASE(TwoIdenticalRequestsAtOneCrashCountOnce) {
   poison_registry registry(seconds(60));
   registry.OnCrash(7, kA, kNow, kNow);
   BOOST_TEST((registry.OnCrash(7, kA, kNow, kNow) == standing::kSuspect));
@@ -45,15 +45,16 @@
   BOOST_TEST(registry.IsEmpty());
 }
 
-// The network cuts single connections, and twice it is the same look-up's. The
-// servers live on, which shows when they answer what was in flight beside it;
-// the look-up must not be refused any longer.
-BOOST_AUTO_TEST_CASE(CutConnectionsAreNoCrashes) {
+// Guards against a conviction by lost connections: the network twice cuts the
+// connection of the same request while the upstreams keep running. Answers to
+// other requests that were in flight there withdraw both crashes.
+BOOST_AUTO_TEST_CASE(LostConnectionsAreNoCrashes) {
   poison_registry registry(seconds(60));
   const monotonic_time later = kNow + seconds(5);
   registry.OnCrash(7, kA, kNow, kNow);
   registry.OnCrash(7, kB, later, later);
-  // Sent after the loss, or answered at the moment of it: may have crashed.
+  // Neither a request sent after the loss nor an answer read at the time of the
+  // loss refutes the crash.
   const monotonic_time answered = later + seconds(1);
   registry.OnAlive(kB, later, answered);
   registry.OnAlive(kB, later - seconds(1), later);
@@ -64,7 +65,7 @@
   BOOST_TEST((registry.Of(7, later) == standing::kClear));
 }
 
-BOOST_AUTO_TEST_CASE(AnUnknownFingerprintIsNeverBlamed) {
+BOOST_AUTO_TEST_CASE(AnUnknownFingerprintIsNeverSuspected) {
   poison_registry registry(seconds(60));
   registry.OnCrash(0, kA, kNow, kNow);
   registry.OnCrash(0, kB, kNow, kNow);
@@ -77,17 +78,17 @@
   BOOST_TEST((registry.OnCrash(7, kA, kNow, kNow) == standing::kPoison));
 }
 
-// Guards against a third crash: the word of the first one comes late, after a
-// second copy has crashed an upstream here.
-BOOST_AUTO_TEST_CASE(AWordThatComesAfterACrashHereMakesTwo) {
+// Guards against a third crash: the report of the first crash arrives late,
+// after the request has crashed another upstream of this process.
+BOOST_AUTO_TEST_CASE(ALateReportAddsToALocalCrash) {
   poison_registry registry(seconds(60));
   registry.OnCrash(7, kA, kNow, kNow);
   registry.OnSuspect(7, {kB, kNow - milliseconds(30)}, kNow);
   BOOST_TEST((registry.Of(7, kNow) == standing::kPoison));
 }
 
-// Guards against two told words of one crash that count as two crashes.
-BOOST_AUTO_TEST_CASE(TwoWordsOfOneCrashAreOne) {
+// Guards against two reports of one crash that count as two crashes.
+BOOST_AUTO_TEST_CASE(TwoReportsOfOneCrashCountOnce) {
   poison_registry registry(seconds(60));
   registry.OnSuspect(7, {kA, kNow}, kNow);
   registry.OnSuspect(7, {kA, kNow + milliseconds(40)}, kNow);
@@ -96,9 +97,10 @@
   BOOST_TEST((registry.Of(7, kNow + seconds(1)) == standing::kPoison));
 }
 
-// Guards against an innocent request that is refused because it was beside the
-// killer at both crashes and the words of the first came late.
-BOOST_AUTO_TEST_CASE(TwoThatWereAtTheSameCrashesAreNotConvicted) {
+// Guards against a harmless request that is refused because it shared the
+// upstream with the poison request at both crashes, one of which was reported
+// by another process.
+BOOST_AUTO_TEST_CASE(TwoSuspectsOfTheSameCrashesAreNotConvicted) {
   poison_registry registry(seconds(60));
   for (const std::uint64_t each : {7, 8}) {
     registry.OnCrash(each, kA, kNow, kNow);
@@ -110,9 +112,9 @@
   BOOST_TEST((registry.Of(7, kNow) == standing::kPoison));
 }
 
-// Guards against a request of many callers that is refused as poison since its
-// copies are in flight at every crash.
-BOOST_AUTO_TEST_CASE(WhatWasAnsweredJustBeforeACrashIsNoSuspect) {
+// Guards against a request of many callers that is refused as poison because it
+// is in flight at every crash.
+BOOST_AUTO_TEST_CASE(ARequestAnsweredJustBeforeACrashIsNoSuspect) {
   poison_registry registry(seconds(60));
   registry.OnAnswered(7, kNow);
   const monotonic_time soon = kNow + seconds(1);
@@ -123,7 +125,7 @@
   BOOST_TEST((registry.OnCrash(7, kA, later, later) == standing::kSuspect));
 }
 
-BOOST_AUTO_TEST_CASE(OneSuspectAnUpstreamAndOneCopyAnywhere) {
+BOOST_AUTO_TEST_CASE(OneSuspectPerUpstreamAndOneRequestPerSuspect) {
   poison_registry registry(seconds(60));
   registry.OnSuspectSent(7, kA);
   BOOST_TEST(!registry.MaySend(7));
