--- a/include/citron/policy/vm_ranker.h
+++ b/include/citron/policy/vm_ranker.h
@@ -12,20 +12,20 @@
 
 namespace citron {
 
-// An entry VM that callers may be told of.
+// An entry VM that may be named to callers.
 struct entry_vm {
   vm_id id;
   zone_id zone;
   region_id region;
   endpoint address;
-  double weight = 1;  // Its part of its zone's callers.
+  double weight = 1;  // Relative share of the zone's callers.
   bool leaving = false;
 };
 
 struct ranked_vm {
   vm_id id;
   endpoint address;
-  double weight = 0;  // Part of the block's callers, all answers sum to 1.
+  double weight = 0;  // Relative to the VMs of the answer; sums to 1.
 };
 
 struct vm_answer {
@@ -38,32 +38,33 @@
   duration lifetime = std::chrono::seconds(30);
 };
 
-// Tells callers of a client block which entry VMs to use, in which order.
+// Selects and orders the entry VMs for callers of a client block.
 class vm_ranker {
  public:
   explicit vm_ranker(vm_ranker_options options);
 
-  // Adds or replaces; a leaving VM is in no answer from now on.
+  // Adds or replaces the VM. A leaving VM is in no later answer.
   void Set(const entry_vm& vm);
   void Remove(const vm_id& id);
 
-  // `site` is where the block's callers are, nullptr if unknown. `spread` tells
-  // callers of one block apart, for example a hash of the caller's address.
+  // `site`: where the block's callers are; nullptr if unknown. `spread`
+  // distinguishes callers of one block, for example a id_hash of the caller's
+  // address.
   vm_answer Rank(const client_site* site, std::uint64_t spread,
                  monotonic_time now) const;
 
  private:
   struct stored_vm {
     entry_vm vm;
-    std::uint64_t hash = 0;
+    std::uint64_t id_hash = 0;
   };
 
-  void Reindex();
+  void RebuildIndex();
 
   vm_ranker_options options_;
   std::map<vm_id, stored_vm> vms_;
-  std::map<region_id, std::vector<const stored_vm*>> by_region_;
-  std::vector<const stored_vm*> usable_;
+  std::map<region_id, std::vector<const stored_vm*>> usable_by_region_;
+  std::vector<const stored_vm*> usable_vms_;
 };
 
 }  // namespace citron
--- a/tests/policy/client_table_test.cc
+++ b/tests/policy/client_table_test.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(ParsesOnlyWholeBlocks) {
+BOOST_AUTO_TEST_CASE(ParsesOnlyValidBlocks) {
   BOOST_TEST(Block("10.1.2.0/24").address == 0x0a010200u);
   BOOST_TEST(ParseClientBlock("0.0.0.0/0").has_value());
   for (const char* bad : {"10.1.2.3/24", "10.1.2.0", "10.1.2.0/33", "x/8",
@@ -47,8 +47,8 @@
   BOOST_TEST(Find(*table, "255.255.255.255") == "d");
 }
 
-// A table that is built in steps, so that a loop serves its callers meanwhile,
-// sends them to the same places as one that is built at once.
+// Guards against a table built in steps that differs from a table built at
+// once.
 BOOST_AUTO_TEST_CASE(StepsBuildTheSameTable) {
   pcg32 random(6);
   client_table::route_map routes;
@@ -85,15 +85,14 @@
   BOOST_TEST(Find(*after, "10.0.0.1") == "z");
 }
 
-// Nested blocks of every length are compared with a search through all of
-// them.
+// Compares lookups among nested blocks of many lengths with a linear search.
 BOOST_AUTO_TEST_CASE(AgreesWithALinearSearch) {
   pcg32 random(21);
   client_table::route_map routes;
   for (int i = 0; i < 3000; ++i) {
     const int length = 4 + static_cast<int>(random(29));
     const std::uint32_t mask = ~std::uint32_t{0} << (32 - length);
-    // Few upper bits, so that blocks nest.
+    // Random addresses with few upper bits make the blocks nest.
     const std::uint32_t address = (random() & 0x0f0fffffu) & mask;
     routes[{address, length}] = Site(std::to_string(random(9)));
   }
--- a/tests/policy/vm_ranker_test.cc
+++ b/tests/policy/vm_ranker_test.cc
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(AnswersOwnZoneFirstAndAnotherLast) {
+BOOST_AUTO_TEST_CASE(AnswersLocalZoneFirstAndAnotherLast) {
   const vm_answer answer = FiveVms().Rank(&kSite, 1, kNow);
   BOOST_TEST_REQUIRE(answer.vms.size() == 3u);
   BOOST_TEST(answer.vms[2].id.Str() == "e");
@@ -49,9 +49,10 @@
   BOOST_TEST(std::abs(first.at("b") - kCallers / 6) < kCallers / 50);
 }
 
-// A VM dies and its callers go to the next one of their cached answers. If that
-// were the same one for all, it would get twice its load and die too.
-BOOST_AUTO_TEST_CASE(ADeadVmsCallersDontLandOnOne) {
+// Guards against cascading failure: the callers of a failed VM move to the next
+// VM of their cached answers. If that were the same VM for all callers, its
+// load would double and it would fail too.
+BOOST_AUTO_TEST_CASE(CallersOfAFailedVmSpreadOverTheOthers) {
   const vm_ranker ranker = FiveVms();
   std::map<std::string, int> second;
   int callers = 0;
@@ -66,7 +67,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ALeavingVmIsOutAtOnceAndOnlyItsCallersMove) {
+BOOST_AUTO_TEST_CASE(ALeavingVmIsRemovedAtOnceAndOnlyItsCallersMove) {
   vm_ranker ranker = FiveVms();
   std::vector<std::string> before;
   for (int i = 0; i < kCallers; ++i) {
@@ -86,7 +87,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AnotherRegionWhenTheOwnOneHasNone) {
+BOOST_AUTO_TEST_CASE(AnswersFromAnotherRegionIfTheLocalRegionHasNone) {
   const client_site site{region_id("hakodate"), zone_id("h1")};
   BOOST_TEST(FiveVms().Rank(&site, 1, kNow).vms.size() == 3u);
   BOOST_TEST(FiveVms().Rank(nullptr, 1, kNow).vms.size() == 3u);
