--- a/include/citron/policy/processor_gauge.h
+++ b/include/citron/policy/processor_gauge.h
@@ -8,25 +8,26 @@
 namespace citron {
 
 struct processor_gauge_options {
-  // Parts of the processor that this process may use: above the first it is
-  // strained, until it is below the second. What is left above carries requests
-  // until callers have heard of it, which takes them a few seconds.
-  double strained_use = 0.6;
-  double easy_use = 0.35;
-  // The use is a mean over about so long.
+  // Fractions of the processor share of this process. Above the first the
+  // process is near capacity, until its use falls below the second. The reserve
+  // above the first serves requests until callers have received the report,
+  // which takes a few seconds.
+  double near_capacity_use = 0.6;
+  double normal_use = 0.35;
+  // Time constant of the exponential mean of the processor use.
   duration horizon = FromMilliseconds(1000);
 };
 
-// Tells when this process comes near the end of its part of the processor.
+// Detects when this process is near the capacity of its processor share.
 class processor_gauge {
  public:
-  // `share`: the part of one core that it may use; 0: not known.
+  // `share`: the fraction of one core that this process may use; 0 if unknown.
   explicit processor_gauge(double share,
                            const processor_gauge_options& options = {});
 
-  // `used`: all processor time since the start of the process.
+  // `used`: total processor time since the start of the process.
   void OnSample(duration used, monotonic_time now);
-  bool IsStrained() const { return strained_; }
+  bool IsStrained() const { return is_near_capacity_; }
 
  private:
   struct sample {
@@ -36,9 +37,9 @@
 
   processor_gauge_options options_;
   double share_;
-  double use_ = 0;
-  bool strained_ = false;
-  std::optional<sample> last_;
+  double mean_use_ = 0;
+  bool is_near_capacity_ = false;
+  std::optional<sample> last_sample_;
 };
 
 }  // namespace citron
--- a/include/citron/policy/recent_answers.h
+++ b/include/citron/policy/recent_answers.h
@@ -9,13 +9,14 @@
 
 namespace citron {
 
-// Which requests were answered lately, by fingerprint. Of bounded size: an
-// answer to one request may overwrite that to another.
+// Records which requests were answered recently, by fingerprint. The size is
+// fixed: an answer to one request may overwrite the record of another.
 class recent_answers {
  public:
   explicit recent_answers(std::size_t size);
 
   void Add(std::uint64_t fingerprint, monotonic_time now);
+  // Returns whether an answer at or after `since` is recorded.
   bool IsAnsweredSince(std::uint64_t fingerprint, monotonic_time since) const;
 
  private:
@@ -24,7 +25,7 @@
     monotonic_time at{};
   };
 
-  std::vector<answer> answers_;  // By fingerprint, modulo the size.
+  std::vector<answer> answers_;  // Indexed by the fingerprint modulo the size.
 };
 
 }  // namespace citron
--- a/include/citron/policy/request_fingerprint.h
+++ b/include/citron/policy/request_fingerprint.h
@@ -8,8 +8,8 @@
 
 namespace citron {
 
-// Same for requests that do the same: two of one workspace that are alike to
-// the byte. Never 0.
+// Returns a hash that is equal for requests of one workspace with the same
+// method, target and body. Never returns 0.
 std::uint64_t RequestFingerprint(const workspace_id& workspace,
                                  std::string_view method,
                                  std::string_view target,
--- a/include/citron/policy/vm_ranker.h
+++ b/include/citron/policy/vm_ranker.h
@@ -25,7 +25,7 @@
 struct ranked_vm {
   vm_id id;
   endpoint address;
-  double weight = 0;  // Relative to the VMs of the answer; sums to 1.
+  double weight = 0;  // Share of the callers; an answer's sum to 1.
 };
 
 struct vm_answer {
--- a/src/policy/processor_gauge.cc
+++ b/src/policy/processor_gauge.cc
@@ -4,25 +4,25 @@
 
 namespace citron {
 
-// Answers: more callers than the few VMs carry that are named to them. A VM at
-// the end of its processor answers late, whatever upstreams do; one notices by
-// requests that reach no upstream for a long time. Others are named as soon as
-// one says that it is strained, before that.
+// Load pattern: more callers than the few VMs named to them can serve. A VM
+// that has used up its processor share answers late, whatever upstreams do, and
+// its requests take long to reach an upstream. Other VMs are named as soon as a
+// VM reports that it is near capacity, before its share is used up.
 
 processor_gauge::processor_gauge(double share,
                                  const processor_gauge_options& options)
     : options_(options), share_(share) {}
 
 void processor_gauge::OnSample(duration used, monotonic_time now) {
-  const std::optional<sample> last = last_;
-  last_ = sample{used, now};
-  if (!last || now <= last->at || share_ <= 0) return;
-  const double passed = ToSeconds(now - last->at);
-  const double use = ToSeconds(used - last->used) / passed / share_;
-  const double weight = 1 - std::exp(-passed / ToSeconds(options_.horizon));
-  use_ += weight * (use - use_);
-  if (use_ > options_.strained_use) strained_ = true;
-  if (use_ < options_.easy_use) strained_ = false;
+  const std::optional<sample> previous = last_sample_;
+  last_sample_ = sample{used, now};
+  if (!previous || now <= previous->at || share_ <= 0) return;
+  const double elapsed_s = ToSeconds(now - previous->at);
+  const double use = ToSeconds(used - previous->used) / elapsed_s / share_;
+  const double weight = 1 - std::exp(-elapsed_s / ToSeconds(options_.horizon));
+  mean_use_ += weight * (use - mean_use_);
+  if (mean_use_ > options_.near_capacity_use) is_near_capacity_ = true;
+  if (mean_use_ < options_.normal_use) is_near_capacity_ = false;
 }
 
 }  // namespace citron
--- a/tests/policy/processor_gauge_test.cc
+++ b/tests/policy/processor_gauge_test.cc
@@ -7,11 +7,11 @@
 
 class gauge_fixture {
  public:
-  // Uses a part of one core for so long, in samples of 50 ms.
-  void Use(double part, double seconds) {
+  // Uses a fraction of one core for `seconds`, in samples of 50 ms.
+  void Use(double fraction, double seconds) {
     for (int i = 0; i < 20 * seconds; ++i) {
       now_ += FromMilliseconds(50);
-      used_ += FromMilliseconds(50 * part);
+      used_ += FromMilliseconds(50 * fraction);
       gauge_.OnSample(used_, now_);
     }
   }
@@ -23,21 +23,22 @@
 
 BOOST_FIXTURE_TEST_SUITE(gauge, gauge_fixture)
 
-BOOST_AUTO_TEST_CASE(AnIdleProcessIsNotStrained) {
+BOOST_AUTO_TEST_CASE(AnIdleProcessIsNotNearCapacity) {
   Use(0.05, 10);
   BOOST_TEST(!gauge_.IsStrained());
 }
 
-// Callers of other zones come as well. The VM must say so while it still has a
-// part of its processor left.
-BOOST_AUTO_TEST_CASE(ManyCallersStrainItWithinSeconds) {
+// Guards against a late report when callers of other zones arrive too: the VM
+// must report that it is near capacity while some of its share is left.
+BOOST_AUTO_TEST_CASE(ManyCallersBringItNearCapacityWithinSeconds) {
   Use(0.05, 10);
   Use(0.19, 2);
   BOOST_TEST(gauge_.IsStrained());
 }
 
-// The load moves away and comes back as soon as nothing is said any more.
-BOOST_AUTO_TEST_CASE(ItIsEasyAgainWellBelowWhatStrainedIt) {
+// Guards against oscillation: the load moves away and returns as soon as the VM
+// stops reporting that it is near capacity.
+BOOST_AUTO_TEST_CASE(NearCapacityEndsWellBelowWhereItBegins) {
   Use(0.19, 5);
   Use(0.1, 10);
   BOOST_TEST(gauge_.IsStrained());
@@ -45,7 +46,7 @@
   BOOST_TEST(!gauge_.IsStrained());
 }
 
-BOOST_AUTO_TEST_CASE(AShortBurstOfWorkIsNoStrain) {
+BOOST_AUTO_TEST_CASE(AShortBurstOfWorkIsNotNearCapacity) {
   Use(0.2, 0.3);
   Use(0.02, 1);
   BOOST_TEST(!gauge_.IsStrained());
@@ -53,7 +54,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_CASE(WithoutAKnownShareNothingIsSaid) {
+BOOST_AUTO_TEST_CASE(WithoutAKnownShareItIsNeverNearCapacity) {
   processor_gauge gauge(0);
   const monotonic_time now{std::chrono::hours(1)};
   gauge.OnSample({}, now);
--- a/tests/policy/recent_answers_test.cc
+++ b/tests/policy/recent_answers_test.cc
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(AnAnswerIsKnownFromItsTimeOn) {
+BOOST_AUTO_TEST_CASE(AnAnswerCountsForEarlierTimesOnly) {
   recent_answers answers(8);
   BOOST_TEST(!answers.IsAnsweredSince(0, kNow));
   answers.Add(7, kNow);
@@ -20,8 +20,8 @@
   BOOST_TEST(!answers.IsAnsweredSince(6, kNow - seconds(1)));
 }
 
-// Guards against one request that is taken for another in the same place.
-BOOST_AUTO_TEST_CASE(AnotherRequestInTheSamePlaceReplacesIt) {
+// Guards against confusing two requests whose fingerprints share a slot.
+BOOST_AUTO_TEST_CASE(AnotherRequestInTheSameSlotReplacesIt) {
   recent_answers answers(8);
   answers.Add(7, kNow);
   answers.Add(15, kNow);
--- a/tests/policy/request_fingerprint_test.cc
+++ b/tests/policy/request_fingerprint_test.cc
@@ -4,15 +4,15 @@
 
 namespace citron {
 
-BOOST_AUTO_TEST_CASE(OnlyRequestsThatAreAlikeShareAFingerprint) {
+BOOST_AUTO_TEST_CASE(OnlyEqualRequestsShareAFingerprint) {
   const workspace_id depot("depot");
-  const std::uint64_t one = RequestFingerprint(depot, "GET", "/a", "x");
-  BOOST_TEST(one == RequestFingerprint(depot, "GET", "/a", "x"));
-  BOOST_TEST(one !=
+  const std::uint64_t fingerprint = RequestFingerprint(depot, "GET", "/a", "x");
+  BOOST_TEST(fingerprint == RequestFingerprint(depot, "GET", "/a", "x"));
+  BOOST_TEST(fingerprint !=
              RequestFingerprint(workspace_id("other"), "GET", "/a", "x"));
-  BOOST_TEST(one != RequestFingerprint(depot, "POST", "/a", "x"));
-  BOOST_TEST(one != RequestFingerprint(depot, "GET", "/b", "x"));
-  BOOST_TEST(one != RequestFingerprint(depot, "GET", "/a", "y"));
+  BOOST_TEST(fingerprint != RequestFingerprint(depot, "POST", "/a", "x"));
+  BOOST_TEST(fingerprint != RequestFingerprint(depot, "GET", "/b", "x"));
+  BOOST_TEST(fingerprint != RequestFingerprint(depot, "GET", "/a", "y"));
 }
 
 }  // namespace citron
