--- a/include/citron/policy/admission_wait.h
+++ b/include/citron/policy/admission_wait.h
@@ -18,11 +18,13 @@
 enum class wait_ticket : std::uint64_t {};
 
 struct admission_wait_options {
-  // A round trip to the farthest region, with some reserve. At an entry that
-  // has just started the time counts from when the entry's share begins.
+  // Longest time that a request waits: a round trip to the farthest region and
+  // some reserve. At an entry that has just started the time counts from when
+  // the entry's share begins, if that is before the request's deadline.
   duration longest_wait = std::chrono::milliseconds(150);
-  // Requests of one workspace that may wait at a time, however small its rate.
-  std::size_t max_waiting = 16;
+  // Number of requests of one workspace that may always wait at a time, however
+  // small its rate. A larger rate raises the limit.
+  std::size_t min_waiting_limit = 16;
 };
 
 // Possible sources of a token for one more request of a workspace.
@@ -46,13 +48,14 @@
 // loans, a bucket whose next token is a millisecond away (a rejection would
 // tell the caller to retry after 0 ms), and a VM that has just started and
 // whose share has yet to begin. Without the wait these requests would be
-// rejected although the fleet has tokens, and the wait of one round trip is
-// much shorter than the second after which a caller would retry.
+// rejected although the fleet has tokens, and the wait of one round trip
+// (longer at a VM that has just started) is much shorter than the 1 s after
+// which a caller would retry.
 //
 // The wait is bounded in time and number. A request is rejected at once if the
 // entry's rate refills no token in time and no other VM has any to lend. At
-// most as many requests wait as the whole contract admits during the wait, with
-// a floor of `max_waiting`; more would wait in vain.
+// most as many requests wait as the whole contract admits in `longest_wait`,
+// but at least `min_waiting_limit`; more would wait in vain.
 class admission_wait {
  public:
   explicit admission_wait(admission_wait_options options);
@@ -75,8 +78,8 @@
   bool IsEmpty() const { return waiting_.empty(); }
   std::size_t Waiting(const workspace_id& workspace) const;
   std::vector<workspace_id> Workspaces() const;
-  // Returns the earliest expected time after `now` of a token for the oldest
-  // waiting request of any workspace, if one is expected.
+  // Returns the earliest time after `now` at which the oldest waiting request
+  // of some workspace expects a token, if there is such a time.
   std::optional<monotonic_time> NextTokenAt(monotonic_time now) const;
 
  private:
@@ -88,7 +91,7 @@
 
   monotonic_time WaitEnd(const token_prospects& prospects, monotonic_time now,
                          monotonic_time deadline) const;
-  std::size_t MaxWaiting(double contract_rate_per_s) const;
+  std::size_t WaitingLimit(double contract_rate_per_s) const;
 
   admission_wait_options options_;
   std::unordered_map<workspace_id, std::deque<waiting_request>> waiting_;
--- a/include/citron/policy/client_table.h
+++ b/include/citron/policy/client_table.h
@@ -27,7 +27,8 @@
   }
 };
 
-// Parses "a.b.c.d/n"; returns nothing if a bit after the prefix is set.
+// Parses "a.b.c.d/n"; returns nullopt for any other text and if a bit after the
+// prefix is set.
 std::optional<client_block> ParseClientBlock(std::string_view text);
 
 struct client_site {
@@ -56,7 +57,9 @@
   friend class client_table_builder;
 
   client_table();
-  void AddRange(std::uint64_t start, std::uint32_t site);
+  // Appends a range. Replaces a range with the same start, as an inner block
+  // begins or ends there, and merges adjacent ranges of one site.
+  void AddRange(std::uint64_t start, std::uint32_t site_index);
   void IndexRanges();
 
   std::vector<client_site> sites_;  // The first element means "no site".
@@ -64,8 +67,9 @@
   std::vector<std::uint32_t> range_starts_;
   // Index in `sites_` of each range's site.
   std::vector<std::uint32_t> range_sites_;
-  // For each value of an address's upper 16 bits, the range that holds the
-  // first address with these bits.
+  // For each value of an address's upper 16 bits, the index of the range that
+  // holds the first address with these bits. An additional last element is the
+  // index of the last range.
   std::vector<std::uint32_t> range_by_upper_bits_;
 };
 
@@ -77,14 +81,14 @@
  public:
   explicit client_table_builder(client_table::route_map routes);
 
-  // Processes at most `blocks` blocks. Returns the table once it is complete
-  // and null before.
+  // Processes at most `blocks` blocks. Returns null until the table is complete
+  // and then the table, after which `Step` must not be called again.
   std::shared_ptr<const client_table> Step(std::size_t blocks);
 
  private:
   struct open_block {
     std::uint64_t end = 0;  // First address after the block.
-    std::uint32_t site = 0;
+    std::uint32_t site_index = 0;
   };
 
   // Closes the open blocks that end at or before `address`.
--- a/include/citron/policy/poison_registry.h
+++ b/include/citron/policy/poison_registry.h
@@ -12,7 +12,8 @@
 
 namespace citron {
 
-// An upstream crash as observed by one process.
+// An upstream crash as observed by one process; the time is on the clock of the
+// process that holds the record.
 struct upstream_crash {
   upstream_id upstream;
   monotonic_time at{};
@@ -22,7 +23,7 @@
 // those that cause the crashes.
 class poison_registry {
  public:
-  // `lifetime`: how long a conviction or a suspicion lasts.
+  // `lifetime`: time from the last crash until a suspicion or conviction ends.
   explicit poison_registry(duration lifetime);
 
   enum class standing { kClear, kSuspect, kPoison };
@@ -32,16 +33,18 @@
 
   // Records that the request, sent at `sent_at`, was in flight when the
   // upstream crashed, and returns its new standing. Fingerprint 0 means unknown
-  // and is never suspected. `was_isolated`: no other suspect was sent to that
-  // upstream, so a second crash convicts this request.
+  // and is ignored here. `was_isolated`: no other suspect was sent to that
+  // upstream, so a second crash convicts this request. If false, a second crash
+  // makes the request poison only if no other recorded request was in flight at
+  // both crashes.
   standing OnCrash(std::uint64_t fingerprint, const upstream_id& upstream,
                    monotonic_time sent_at, monotonic_time now,
                    bool was_isolated = true);
-  // Extends an existing suspicion or conviction after a crash that isn't
+  // Extends the lifetime of an existing record after a crash that isn't
   // evidence against this request.
   void OnUnprovenCrash(std::uint64_t fingerprint, monotonic_time now);
-  // Records that a request with this fingerprint was answered, which clears a
-  // suspicion but not a conviction.
+  // Records that a request with this fingerprint was answered, which clears the
+  // record of the request unless the record is marked as convicted.
   void OnAnswered(std::uint64_t fingerprint, monotonic_time now);
   // Withdraws the crashes that are refuted by an answer to any request that was
   // sent to the upstream at `sent_at`: the upstream hasn't crashed since then.
@@ -53,8 +56,10 @@
   void OnSuspect(std::uint64_t fingerprint, const upstream_crash& crash,
                  monotonic_time now);
 
-  // Track the suspects in flight. Callers send at most one request of a suspect
-  // fingerprint at a time, and at most one suspect to each upstream.
+  // The following functions track the suspects in flight. The user of the class
+  // sends at most one request of a suspect fingerprint at a time, and at most
+  // one suspect to each upstream. `MaySend` returns false while a request with
+  // this fingerprint is in flight as a suspect.
   bool MaySend(std::uint64_t fingerprint) const;
   bool HoldsSuspect(const upstream_id& upstream) const;
   void AddUpstreamsWithSuspects(std::vector<upstream_id>& upstreams) const;
@@ -67,6 +72,7 @@
  private:
   struct record {
     std::vector<upstream_crash> crashes;
+    // Set by a second, isolated crash or by another process's conviction.
     bool convicted = false;
     monotonic_time until;
 
@@ -77,8 +83,10 @@
   // that either may have caused them.
   bool SharesCrashesWithAnother(std::uint64_t fingerprint,
                                 const record& r) const;
-  bool WasAnsweredBefore(std::uint64_t fingerprint,
-                         monotonic_time crash_at) const;
+  // Returns whether an answer from kRecentAnswerWindow before `crash_at` or
+  // later is recorded.
+  bool HasAnswerSinceShortlyBefore(std::uint64_t fingerprint,
+                                   monotonic_time crash_at) const;
 
   duration lifetime_;
   recent_answers answers_;
--- a/include/citron/policy/processor_gauge.h
+++ b/include/citron/policy/processor_gauge.h
@@ -8,14 +8,14 @@
 namespace citron {
 
 struct processor_gauge_options {
-  // Fractions of the processor share of this process. Above the first the
-  // process is near capacity, until its use falls below the second. The reserve
-  // above the first serves requests until callers have received the report,
-  // which takes a few seconds.
+  // Fraction of the processor share of this process above which the process is
+  // near capacity. The rest of the share serves requests until callers have
+  // received the report of that, which takes a few seconds.
   double near_capacity_use = 0.6;
+  // Fraction of the share below which the process is no longer near capacity.
   double normal_use = 0.35;
   // Time constant of the exponential mean of the processor use.
-  duration horizon = FromMilliseconds(1000);
+  duration mean_time_constant = FromMilliseconds(1000);
 };
 
 // Detects when this process is near the capacity of its processor share.
--- a/include/citron/policy/vm_ranker.h
+++ b/include/citron/policy/vm_ranker.h
@@ -18,14 +18,16 @@
   zone_id zone;
   region_id region;
   endpoint address;
-  double weight = 1;  // Relative share of the zone's callers.
+  // Relative share of callers. A VM without a positive weight is never named.
+  double weight = 1;
   bool leaving = false;
 };
 
 struct ranked_vm {
   vm_id id;
   endpoint address;
-  double weight = 0;  // Share of the callers; an answer's sum to 1.
+  // Share of the callers: the VM's weight divided by the sum over the answer.
+  double weight = 0;
 };
 
 struct vm_answer {
@@ -34,7 +36,8 @@
 };
 
 struct vm_ranker_options {
-  std::size_t answer_size = 3;
+  std::size_t answer_size = 3;  // Number of VMs in an answer.
+  // Time until an answer expires.
   duration lifetime = std::chrono::seconds(30);
 };
 
@@ -48,8 +51,9 @@
   void Remove(const vm_id& id);
 
   // `site`: where the block's callers are; nullptr if unknown. `spread`
-  // distinguishes callers of one block, for example a id_hash of the caller's
-  // address.
+  // distinguishes callers of one block, for example a hash of the caller's
+  // address. All VMs are candidates if the site's region is unknown or has no
+  // usable VM.
   vm_answer Rank(const client_site* site, std::uint64_t spread,
                  monotonic_time now) const;
 
--- a/src/policy/admission_wait.cc
+++ b/src/policy/admission_wait.cc
@@ -28,17 +28,18 @@
   const bool gets_local_token = token_at && *token_at < wait_ends_at;
   if (wait_ends_at <= now) return false;
   if (!gets_local_token && !prospects.may_borrow) return false;
-  if (Waiting(workspace) >= MaxWaiting(prospects.contract_rate_per_s)) {
+  if (Waiting(workspace) >= WaitingLimit(prospects.contract_rate_per_s)) {
     return false;
   }
   waiting_[workspace].push_back({ticket, wait_ends_at, token_at});
   return true;
 }
 
-std::size_t admission_wait::MaxWaiting(double contract_rate_per_s) const {
+std::size_t admission_wait::WaitingLimit(double contract_rate_per_s) const {
   const double admitted =
       contract_rate_per_s * ToSeconds(options_.longest_wait);
-  return std::max(options_.max_waiting, static_cast<std::size_t>(admitted));
+  return std::max(options_.min_waiting_limit,
+                  static_cast<std::size_t>(admitted));
 }
 
 std::vector<wait_ticket> admission_wait::TakeAdmitted(
@@ -101,8 +102,8 @@
   return workspaces;
 }
 
-// Skips an expected time that has passed without a token; the driver's timer
-// handles that request.
+// Skips an expected time that has passed without a token; the periodic timer
+// tries again to admit that request.
 std::optional<monotonic_time> admission_wait::NextTokenAt(
     monotonic_time now) const {
   std::optional<monotonic_time> next;
--- a/src/policy/client_table.cc
+++ b/src/policy/client_table.cc
@@ -15,10 +15,10 @@
 // Load pattern: 4.2 million lookups per second in 180,000 blocks. A trie needs
 // a dependent memory access for each level. Here the blocks divide the address
 // space into at most 360,000 ranges, and a lookup reads an index by the upper
-// 16 bits and searches the few ranges that the index entry covers. The ranges
-// take about 3 MB however the blocks are distributed; nested tables of 256
-// entries would take up to 64 MB for blocks that are far apart, half of the
-// memory that a daemon may spend on control data.
+// 16 bits and does a binary search in the ranges that the index entry covers.
+// The ranges take about 3 MB however the blocks are distributed; nested tables
+// of 256 entries would take up to 64 MB for blocks that are far apart, half of
+// the memory that a daemon may spend on control data.
 
 constexpr int kIndexBits = 16;
 constexpr std::uint64_t kAddressCount = std::uint64_t{1} << 32;
@@ -69,12 +69,12 @@
   for (; blocks > 0 && !routes_.empty(); --blocks) {
     const auto& [block, site] = *routes_.begin();
     CloseBlocksUntil(block.address);
-    const auto [site_index, added] =
+    const auto [numbered, added] =
         site_indices_.try_emplace(site, table_->sites_.size());
     if (added) table_->sites_.push_back(site);
-    table_->AddRange(block.address, site_index->second);
+    table_->AddRange(block.address, numbered->second);
     open_blocks_.push_back(
-        {block.address + BlockSize(block.prefix_length), site_index->second});
+        {block.address + BlockSize(block.prefix_length), numbered->second});
     routes_.erase(routes_.begin());
   }
   if (!routes_.empty()) return nullptr;
@@ -87,20 +87,21 @@
   while (!open_blocks_.empty() && open_blocks_.back().end <= address) {
     const std::uint64_t end = open_blocks_.back().end;
     open_blocks_.pop_back();
-    table_->AddRange(end, open_blocks_.empty() ? 0 : open_blocks_.back().site);
+    table_->AddRange(end,
+                     open_blocks_.empty() ? 0 : open_blocks_.back().site_index);
   }
 }
 
-void client_table::AddRange(std::uint64_t start, std::uint32_t site) {
+void client_table::AddRange(std::uint64_t start, std::uint32_t site_index) {
   if (start >= kAddressCount) return;
   const auto address = static_cast<std::uint32_t>(start);
   if (!range_starts_.empty() && range_starts_.back() == address) {
     range_starts_.pop_back();
     range_sites_.pop_back();
   }
-  if (!range_sites_.empty() && range_sites_.back() == site) return;
+  if (!range_sites_.empty() && range_sites_.back() == site_index) return;
   range_starts_.push_back(address);
-  range_sites_.push_back(site);
+  range_sites_.push_back(site_index);
 }
 
 void client_table::IndexRanges() {
@@ -124,8 +125,9 @@
   const auto from = range_starts_.begin() + range_by_upper_bits_[upper];
   const auto to = range_starts_.begin() + range_by_upper_bits_[upper + 1] + 1;
   const auto after = std::upper_bound(from, to, address);
-  const std::uint32_t site = range_sites_[after - range_starts_.begin() - 1];
-  return site == 0 ? nullptr : &sites_[site];
+  const std::uint32_t site_index =
+      range_sites_[after - range_starts_.begin() - 1];
+  return site_index == 0 ? nullptr : &sites_[site_index];
 }
 
 std::size_t client_table::MemoryBytes() const {
--- a/src/policy/poison_registry.cc
+++ b/src/policy/poison_registry.cc
@@ -16,7 +16,7 @@
 // crash and isn't suspected. The time is short because a data change can turn a
 // harmless request into one that crashes upstreams.
 constexpr duration kRecentAnswerWindow = std::chrono::seconds(2);
-constexpr std::size_t kRecentAnswersSize = 4096;
+constexpr std::size_t kRecentAnswerSlots = 4096;
 
 bool IsSameCrash(const upstream_crash& a, const upstream_crash& b) {
   const duration apart = a.at < b.at ? b.at - a.at : a.at - b.at;
@@ -32,27 +32,30 @@
 }  // namespace
 
 // Load pattern: a single request that crashes each upstream that runs it and
-// that its caller retries, alongside other requests that many callers send in
-// identical form. Without a conviction the retries crash one upstream after
-// another.
+// that its caller retries, among harmless requests, some of which are sent by
+// many callers and share a fingerprint. Without a conviction the retries crash
+// one upstream after another.
 //
 // Two crashes are the fewest that distinguish a poison request from an upstream
 // that crashed by itself. At a crash every request in flight at the upstream
-// becomes a suspect, including requests that merely shared the upstream. If two
-// suspects met again at one upstream, the second crash would convict both.
-// Therefore a suspect is sent only to an upstream without another suspect, and
-// only one request of a fingerprint at a time: at the second crash just one
-// fingerprint was present at both. An answer clears a suspect at once.
+// becomes a suspect, including requests that merely shared the upstream, unless
+// its fingerprint is unknown or was answered within kRecentAnswerWindow. If two
+// suspects were in flight at both crashes, the crashes couldn't show which of
+// them is the cause. Therefore a suspect is sent only to an upstream without
+// another suspect, and only one request of a fingerprint at a time: at the
+// second crash just one fingerprint was present at both. An answer clears a
+// suspect at once.
 //
 // A connection can also be lost without a crash. If another request that was in
 // flight at the upstream at that time is answered later, the upstream didn't
-// crash, and the crash is withdrawn from all suspects. Limitation: two
-// different poison requests at the same time can't be distinguished. A suspect
-// that shares an upstream with a second, still unknown poison request is
-// refused instead of that request until the lifetime ends.
+// crash, and the crash is withdrawn from all records. A conviction with fewer
+// than two crashes left is cancelled. Limitation: two different poison requests
+// at the same time can't be distinguished. A suspect that shares an upstream
+// with a second, still unknown poison request is refused instead of that
+// request until the lifetime ends.
 
 poison_registry::poison_registry(duration lifetime)
-    : lifetime_(lifetime), answers_(kRecentAnswersSize) {}
+    : lifetime_(lifetime), answers_(kRecentAnswerSlots) {}
 
 bool poison_registry::record::Has(const upstream_crash& crash) const {
   return std::any_of(
@@ -84,8 +87,8 @@
   });
 }
 
-bool poison_registry::WasAnsweredBefore(std::uint64_t fingerprint,
-                                        monotonic_time crash_at) const {
+bool poison_registry::HasAnswerSinceShortlyBefore(
+    std::uint64_t fingerprint, monotonic_time crash_at) const {
   return answers_.IsAnsweredSince(fingerprint, crash_at - kRecentAnswerWindow);
 }
 
@@ -101,7 +104,8 @@
                                                    bool was_isolated) {
   if (fingerprint == 0) return standing::kClear;
   const standing before = Of(fingerprint, now);
-  if (before == standing::kClear && WasAnsweredBefore(fingerprint, now)) {
+  if (before == standing::kClear &&
+      HasAnswerSinceShortlyBefore(fingerprint, now)) {
     return standing::kClear;
   }
   record& r = records_[fingerprint];
@@ -161,12 +165,12 @@
 }
 
 // The report of a crash may arrive after this process has seen another crash;
-// the two add up.
+// both crashes count.
 void poison_registry::OnSuspect(std::uint64_t fingerprint,
                                 const upstream_crash& crash,
                                 monotonic_time now) {
   if (Of(fingerprint, now) == standing::kClear) {
-    if (WasAnsweredBefore(fingerprint, crash.at)) return;
+    if (HasAnswerSinceShortlyBefore(fingerprint, crash.at)) return;
     records_[fingerprint] = {};
   }
   record& r = records_[fingerprint];
--- a/src/policy/processor_gauge.cc
+++ b/src/policy/processor_gauge.cc
@@ -19,7 +19,8 @@
   if (!previous || now <= previous->at || share_ <= 0) return;
   const double elapsed_s = ToSeconds(now - previous->at);
   const double use = ToSeconds(used - previous->used) / elapsed_s / share_;
-  const double weight = 1 - std::exp(-elapsed_s / ToSeconds(options_.horizon));
+  const double weight =
+      1 - std::exp(-elapsed_s / ToSeconds(options_.mean_time_constant));
   mean_use_ += weight * (use - mean_use_);
   if (mean_use_ > options_.near_capacity_use) is_near_capacity_ = true;
   if (mean_use_ < options_.normal_use) is_near_capacity_ = false;
--- a/src/policy/vm_ranker.cc
+++ b/src/policy/vm_ranker.cc
@@ -20,8 +20,9 @@
 // For a caller whose zone is known, the last VM of an answer is in another zone
 // if there is one. A caller whose whole zone has failed then has a VM to use
 // before its answer expires.
-constexpr std::size_t kPlacesInOtherZones = 1;
+constexpr std::size_t kMinPlacesInOtherZones = 1;
 
+// The finalizer of SplitMix64.
 std::uint64_t MixBits(std::uint64_t x) {
   x ^= x >> 30;
   x *= 0xbf58476d1ce4e5b9u;
@@ -33,6 +34,7 @@
 double Score(std::uint64_t vm_hash, std::uint64_t spread, double weight) {
   const std::uint64_t mixed =
       MixBits(vm_hash ^ MixBits(spread + 0x9e3779b97f4a7c15u));
+  // 53 random bits as a number in [0, 1); the lower bound below avoids log(0).
   const double unit = std::ldexp(static_cast<double>(mixed >> 11), -53);
   return -weight / std::log(std::max(unit, 1e-300));
 }
@@ -94,7 +96,7 @@
   }
   const std::size_t size = options_.answer_size;
   const std::size_t reserved =
-      std::min({other_zones.size(), kPlacesInOtherZones, size});
+      std::min({other_zones.size(), kMinPlacesInOtherZones, size});
   KeepBest(in_zone, size - reserved);
   KeepBest(other_zones, size - in_zone.size());
   in_zone.insert(in_zone.end(), other_zones.begin(), other_zones.end());
--- a/tests/policy/admission_wait_test.cc
+++ b/tests/policy/admission_wait_test.cc
@@ -74,8 +74,8 @@
   BOOST_TEST(wait.TakeExpired(kStart + FromMilliseconds(150)).size() == 1u);
 }
 
-// The local rate refills a token only after the caller's deadline or after the
-// longest wait.
+// A token that arrives at the end of the longest wait or at the caller's
+// deadline is too late, and a request whose deadline has come doesn't wait.
 BOOST_AUTO_TEST_CASE(NothingWaitsForATokenThatComesTooLate) {
   admission_wait wait({});
   const monotonic_time late = kStart + FromMilliseconds(150);
@@ -107,7 +107,7 @@
 
 BOOST_AUTO_TEST_CASE(NumberAndTimeAreBounded) {
   admission_wait_options options;
-  options.max_waiting = 2;
+  options.min_waiting_limit = 2;
   admission_wait wait(options);
   BOOST_TEST(wait.TryWait(kPenco, Id(1), kMayBorrow, kStart, kFar));
   const monotonic_time soon = kStart + FromMilliseconds(10);
--- a/tests/policy/client_table_test.cc
+++ b/tests/policy/client_table_test.cc
@@ -92,7 +92,7 @@
   for (int i = 0; i < 3000; ++i) {
     const int length = 4 + static_cast<int>(random(29));
     const std::uint32_t mask = ~std::uint32_t{0} << (32 - length);
-    // Random addresses with few upper bits make the blocks nest.
+    // Only 24 bits vary, so that many blocks enclose others.
     const std::uint32_t address = (random() & 0x0f0fffffu) & mask;
     routes[{address, length}] = Site(std::to_string(random(9)));
   }
--- a/tests/policy/poison_registry_test.cc
+++ b/tests/policy/poison_registry_test.cc
@@ -72,7 +72,7 @@
   BOOST_TEST((registry.Of(0, kNow) == standing::kClear));
 }
 
-BOOST_AUTO_TEST_CASE(ASuspectOfAnotherOwnerNeedsOneMoreCrash) {
+BOOST_AUTO_TEST_CASE(ASuspectOfAnotherProcessNeedsOneMoreCrash) {
   poison_registry registry(seconds(60));
   registry.OnSuspect(7, {kB, kNow}, kNow);
   BOOST_TEST((registry.OnCrash(7, kA, kNow, kNow) == standing::kPoison));
