--- a/include/citron/policy/poison_registry.h
+++ b/include/citron/policy/poison_registry.h
@@ -58,8 +58,9 @@
 
   // The following functions track the suspects in flight. The user of the class
   // sends at most one request of a suspect fingerprint at a time, and at most
-  // one suspect to each upstream. `MaySend` returns false while a request with
-  // this fingerprint is in flight as a suspect.
+  // one suspect to each upstream.
+
+  // Returns whether no request with this fingerprint is in flight as a suspect.
   bool MaySend(std::uint64_t fingerprint) const;
   bool HoldsSuspect(const upstream_id& upstream) const;
   void AddUpstreamsWithSuspects(std::vector<upstream_id>& upstreams) const;
