--- a/include/citron/policy/affinity_selector.h
+++ b/include/citron/policy/affinity_selector.h
@@ -17,36 +17,40 @@
 namespace citron {
 
 struct selector_options {
-  zone_id zone;  // Of this VM.
+  zone_id zone;  // This VM's zone.
   region_id region;
-  // Weight of upstreams of the own region against others. Zones of a region
-  // count alike, so that their VMs keep an object at one upstream.
-  double region_weight = 4;
-  // Large answers come from near, since each of them that crosses a zone costs
-  // more than a first run.
-  double large_zone_weight = 64;
-  double large_region_weight = 8;
-  // Requests there for each slot up to which the first upstream of an object
-  // takes it: as many as are answered within the goal by the measured service
-  // time, between these two. Upstreams queue three for each slot and turn away
-  // the rest.
-  double least_load_limit = 2;
-  double load_limit = 3.5;
-  // Above that, one of so many upstreams that has less than this.
+  // Weight of the upstreams in this VM's region relative to other regions. All
+  // zones of a region have equal weight, so that the VMs of a region place an
+  // object at the same upstream.
+  double same_region_weight = 4;
+  // Weights of upstreams in this VM's zone and region for large answers, which
+  // are served nearby: a large answer that crosses zones costs more than a cold
+  // run.
+  double large_answer_zone_weight = 64;
+  double large_answer_region_weight = 8;
+  // Limits of the load, in requests per slot, below which the preferred
+  // upstream of an object takes a request. The limit between them is the number
+  // of requests that the upstream answers within the latency goal at the median
+  // service time. Upstreams queue three requests per slot and reject the rest.
+  double min_load_limit = 2;
+  double max_load_limit = 3.5;
+  // Number of upstreams that share an object. Once the preferred one reaches
+  // its limit, another one takes requests while its load per slot is below
+  // `spare_replica_load`.
   int replicas = 2;
-  double spare_load = 0.5;
-  // Upstreams of one zone that can't be connected to before the zone counts as
-  // out of reach, and for how long.
-  int path_failures = 2;
-  duration path_avoidance = FromMilliseconds(1000);
+  double spare_replica_load = 0.5;
+  // Consecutive connect timeouts to a zone's upstreams after which the zone
+  // counts as unreachable, and for how long.
+  int path_failure_limit = 2;
+  duration path_backoff = FromMilliseconds(1000);
   weight_control_options weights;
 };
 
-// What a request asks of an upstream.
+// Requirements of a request for the choice of its upstream.
 struct selection_request {
-  std::uint64_t object = 0;  // Requests of one object have the same.
+  std::uint64_t object = 0;  // Equal for all requests of one object.
   bool large_answer = false;
-  duration latency_goal{};  // Zero: none.
+  duration latency_goal{};  // Zero: no goal.
   const std::set<region_id>* route_homes = nullptr;
   const std::set<region_id>* workspace_homes = nullptr;
   const std::vector<upstream_id>* tried = nullptr;
@@ -54,14 +58,14 @@
 
 enum class selection_error {
   kNoneKnown,    // No upstream of the service is announced.
-  kNotAllowed,   // None stands where the request may run.
-  kUnavailable,  // All that may run it fail, are cold or were tried.
-  kBusy,         // Those that it would be sent to are full.
+  kNotAllowed,   // No upstream is in a region where the request may run.
+  kUnavailable,  // No allowed upstream is available or untried.
+  kBusy,         // The replicas for the object are full.
 };
 
 std::string_view ToString(selection_error error);
 
-// What decided, for the log.
+// The chosen upstream and what the choice was based on, for the log.
 struct selection {
   upstream_id upstream;
   int load = 0;
@@ -70,8 +74,8 @@
   bool first_choice = true;
 };
 
-// Chooses the upstream for each request of one service, so that all VMs send an
-// object to the same few upstreams without talking to each other.
+// Chooses the upstream for each request of one service. All VMs send an object
+// to the same few upstreams without communicating with each other.
 class affinity_selector {
  public:
   explicit affinity_selector(const selector_options& options);
@@ -79,7 +83,7 @@
   void SetUpstream(const upstream_record& record, const region_id& region,
                    monotonic_time now);
   void RemoveUpstream(const upstream_id& id);
-  // Null if it isn't known any more.
+  // Returns null if the upstream is not known.
   upstream_standing* Find(const upstream_id& id);
   void ForEach(const std::function<void(upstream_standing&)>& visit);
   void SetClosedZones(const std::set<zone_id>& zones);
@@ -87,11 +91,11 @@
   std::variant<selection, selection_error> Choose(
       const selection_request& request, monotonic_time now) const;
 
-  // An upstream with a free slot answered after that time, the way there and
-  // back not counted.
-  void OnServed(duration took) { service_time_.OnServed(took); }
+  // Records the service time of a request that found a free slot, without the
+  // network delay in either direction.
+  void OnServed(duration service_time) { service_time_.OnServed(service_time); }
 
-  // A connection stood, or didn't within its time.
+  // Records the result of a connection attempt to an upstream in `zone`.
   void OnConnected(const zone_id& zone);
   void OnConnectTimeout(const zone_id& zone, monotonic_time now);
 
@@ -104,20 +108,21 @@
   };
   struct path_state {
     int failures = 0;
-    monotonic_time avoided_until{};
+    monotonic_time backoff_until{};
   };
 
   bool IsAllowed(const upstream_standing& upstream,
                  const selection_request& request) const;
   bool IsAvailable(const upstream_standing& upstream,
-                   const selection_request& request, bool spare_ejected,
+                   const selection_request& request, bool include_ejected,
                    monotonic_time now) const;
-  void KeepReplicas(std::vector<candidate>& candidates) const;
-  // Null if there is none.
-  const upstream_standing* SpareReplica(const std::vector<candidate>& replicas,
-                                        monotonic_time now) const;
+  void KeepPreferredReplicas(std::vector<candidate>& candidates) const;
+  // Returns null if no replica has spare capacity.
+  const upstream_standing* FindSpareReplica(
+      const std::vector<candidate>& replicas, monotonic_time now) const;
   double LoadLimit(const selection_request& request) const;
-  double WeightOf(const upstream_standing& upstream, bool large_answer) const;
+  double PlacementWeight(const upstream_standing& upstream,
+                         bool large_answer) const;
 
   selector_options options_;
   std::map<upstream_id, upstream_standing> upstreams_;
--- a/include/citron/policy/upstream_standing.h
+++ b/include/citron/policy/upstream_standing.h
@@ -11,36 +11,40 @@
 
 namespace citron {
 
-// What an upstream said of its load with an answer.
+// Load that an upstream reports with an answer.
 struct load_report {
   int running = 0;
   int waiting = 0;
   int slots = 0;
 };
 
-// What a cold upstream may be sent by this VM; the parts of all VMs add up to
-// what it bears.
+// Requests that this VM may send to a cold upstream. The allowances of all VMs
+// add up to the capacity of the upstream.
 struct cold_allowance {
   double rate_per_s = 0;
-  double burst = 0;  // 0: this VM sends it nothing while it is cold.
+  double burst = 0;  // 0: this VM sends no requests while it is cold.
 };
 
-struct standing_options {
-  // How long a report of load counts, and a failure keeps an upstream out.
+struct upstream_standing_options {
+  // Validity of a load report.
   duration report_lifetime = FromMilliseconds(1500);
-  duration first_avoidance = FromMilliseconds(400);
-  duration longest_avoidance = FromMilliseconds(4000);
-  // Failed answers among the last ones that eject, and the least of them.
-  double ejection_rate = 0.35;
-  int ejection_samples = 6;
-  duration ejection = FromMilliseconds(3000);
-  // After the first answer of an upstream that could not be connected to: until
-  // then it would have announced a new start, and this VM have read it.
-  duration restart_news = FromMilliseconds(2500);
+  // Time without requests after a connect failure; doubles with each further
+  // one.
+  duration initial_backoff = FromMilliseconds(400);
+  duration max_backoff = FromMilliseconds(4000);
+  // Failure rate that ejects an upstream, and the minimum number of outcomes
+  // before an ejection.
+  double ejection_failure_rate = 0.35;
+  int min_ejection_samples = 6;
+  duration ejection_duration = FromMilliseconds(3000);
+  // Time after the first answer that follows a connect failure. By its end, a
+  // restarted upstream would have announced the restart and this VM would have
+  // read the announcement.
+  duration restart_report_delay = FromMilliseconds(2500);
 };
 
-// One upstream as this VM knows it: what it announced, what is in flight from
-// here, what it said with its answers and what became of requests.
+// State of one upstream as seen by this VM: its announcement, this VM's
+// requests in flight, its load reports and the outcomes of requests.
 class upstream_standing {
  public:
   upstream_standing(const upstream_record& record, const region_id& region,
@@ -48,62 +52,68 @@
                     const weight_control_options& weights = {});
 
   const upstream_record& Record() const { return record_; }
-  // It announced that it leaves, or told a request so since its last word.
-  bool IsLeaving() const { return record_.draining || told_leaving_; }
+  // Returns whether the upstream announced that it leaves, or answered so since
+  // its last announcement.
+  bool IsLeaving() const { return record_.draining || reported_leaving_; }
   const region_id& Region() const { return region_; }
   std::uint64_t Hash() const { return hash_; }
 
-  // A new announcement. Another start of the same upstream begins anew.
+  // Takes a new announcement. A restart of the upstream resets its failures and
+  // load.
   void OnRecord(const upstream_record& record, monotonic_time now);
   void SetColdAllowance(const cold_allowance& allowance);
-  // It is cold for that long, whatever it announced.
+  // Treats the upstream as cold for at least `left`, whatever it announced.
   void OnCold(duration left, monotonic_time now);
 
   void OnSent(monotonic_time now);
   void OnReport(const load_report& report, monotonic_time now);
-  // Another VM heard that so many requests are there.
+  // Takes the number of requests at the upstream that another VM reports.
   void OnHeardLoad(int requests, monotonic_time now);
   void OnDone(upstream_outcome outcome, monotonic_time now);
   int InFlight() const { return in_flight_; }
-  // Requests there, from here and from others, by its last report.
+  // Returns the requests at the upstream: this VM's in flight and, while the
+  // last report is valid, those of other callers.
   int Load(monotonic_time now) const;
-  // The part of its full weight in the choice, by the load that it reports.
+  // Returns the fraction of its full weight that the upstream has in the
+  // choice, by its reported load.
   double LoadWeight() const { return weight_.Weight(); }
-  // It failed lately, so that only single requests may try it.
-  bool IsOnTrial() const { return failures_in_row_ > 0; }
-  bool IsAvoided(monotonic_time now) const { return now < avoided_until_; }
+  // Returns whether connections failed since the last answer, so that the
+  // upstream takes one request at a time.
+  bool IsOnProbation() const { return connect_failures_ > 0; }
+  bool IsInBackoff(monotonic_time now) const { return now < backoff_until_; }
   bool IsEjected(monotonic_time now) const { return now < ejected_until_; }
-  // It has just started, or may have.
+  // Returns whether the upstream has recently started, or may have.
   bool IsCold(monotonic_time now) const;
-  // Whether one more request would stay within the allowance of a cold one.
-  bool HasColdRoom(monotonic_time now) const;
+  // Returns whether one more request stays within the cold allowance.
+  bool CanTakeColdRequest(monotonic_time now) const;
   double FailureRate() const { return failure_rate_; }
 
  private:
-  void SetLoad(int requests, int own, int slots, monotonic_time now);
+  void UpdateLoad(int requests, int local_in_flight, int slots,
+                  monotonic_time now);
   double ColdTokens(monotonic_time now) const;
   void OnConnectFailure(monotonic_time now);
 
-  standing_options options_;
+  upstream_standing_options options_;
   upstream_record record_;
   region_id region_;
   std::uint64_t hash_;
-  bool told_leaving_ = false;
+  bool reported_leaving_ = false;
   int in_flight_ = 0;
 
-  int foreign_load_ = 0;
+  int other_callers_load_ = 0;
   monotonic_time reported_at_{};
   weight_control weight_;
 
-  int failures_in_row_ = 0;
-  monotonic_time avoided_until_{};
+  int connect_failures_ = 0;
+  monotonic_time backoff_until_{};
   double failure_rate_ = 0;
   int samples_ = 0;
   monotonic_time ejected_until_{};
 
   monotonic_time cold_until_{};
   bool may_have_restarted_ = false;
-  monotonic_time no_restart_at_{};  // When that is known to be false.
+  monotonic_time restart_ruled_out_at_{};  // When a restart is ruled out.
   cold_allowance allowance_;
   double cold_tokens_ = 0;
   monotonic_time cold_tokens_at_{};
--- a/src/policy/affinity_selector.cc
+++ b/src/policy/affinity_selector.cc
@@ -8,12 +8,12 @@
 
 namespace {
 
-bool Contains(const std::set<region_id>* homes, const region_id& region) {
-  return homes == nullptr || homes->empty() || homes->contains(region);
+bool AllowsRegion(const std::set<region_id>* regions, const region_id& region) {
+  return regions == nullptr || regions->empty() || regions->contains(region);
 }
 
-// Requests there for each slot.
-double LoadOf(const upstream_standing& upstream, monotonic_time now) {
+// Returns the requests per slot at `upstream`.
+double LoadPerSlot(const upstream_standing& upstream, monotonic_time now) {
   return static_cast<double>(upstream.Load(now)) /
          std::max(1, upstream.Record().slots);
 }
@@ -26,9 +26,9 @@
 
 }  // namespace
 
-// Load pattern: more work than the upstreams carry cold. All VMs compute the
-// same rendezvous order, so that each object stays at an upstream that is warm
-// for it.
+// Load pattern: more work than the upstreams can serve cold. All VMs compute
+// the same rendezvous order, so that each object stays at an upstream that is
+// warm for it.
 
 std::string_view ToString(selection_error error) {
   switch (error) {
@@ -76,53 +76,54 @@
 
 void affinity_selector::OnConnected(const zone_id& zone) { paths_.erase(zone); }
 
-// Load pattern: a cut between zones. Consecutive connect timeouts without a
-// success take the zone out, instead of one request for each upstream behind
-// the cut.
+// Load pattern: a network partition between zones. Consecutive connect timeouts
+// without a success exclude the whole zone; otherwise each upstream behind the
+// partition would cost a request a timeout.
 void affinity_selector::OnConnectTimeout(const zone_id& zone,
                                          monotonic_time now) {
   path_state& path = paths_[zone];
   ++path.failures;
-  if (path.failures >= options_.path_failures) {
-    path.avoided_until = now + options_.path_avoidance;
+  if (path.failures >= options_.path_failure_limit) {
+    path.backoff_until = now + options_.path_backoff;
   }
 }
 
 bool affinity_selector::IsAllowed(const upstream_standing& upstream,
                                   const selection_request& request) const {
-  return Contains(request.route_homes, upstream.Region()) &&
-         Contains(request.workspace_homes, upstream.Region());
+  return AllowsRegion(request.route_homes, upstream.Region()) &&
+         AllowsRegion(request.workspace_homes, upstream.Region());
 }
 
 bool affinity_selector::IsAvailable(const upstream_standing& upstream,
                                     const selection_request& request,
-                                    bool spare_ejected,
+                                    bool include_ejected,
                                     monotonic_time now) const {
   const upstream_record& record = upstream.Record();
   if (upstream.IsLeaving() || closed_zones_.contains(record.zone)) return false;
   if (WasTried(request, record.id)) return false;
-  if (upstream.IsAvoided(now)) return false;
-  if (upstream.IsOnTrial() && upstream.InFlight() > 0) return false;
-  if (!spare_ejected && upstream.IsEjected(now)) return false;
-  if (upstream.IsCold(now) && !upstream.HasColdRoom(now)) return false;
+  if (upstream.IsInBackoff(now)) return false;
+  if (upstream.IsOnProbation() && upstream.InFlight() > 0) return false;
+  if (!include_ejected && upstream.IsEjected(now)) return false;
+  if (upstream.IsCold(now) && !upstream.CanTakeColdRequest(now)) return false;
   const auto path = paths_.find(record.zone);
-  return path == paths_.end() || now >= path->second.avoided_until;
+  return path == paths_.end() || now >= path->second.backoff_until;
 }
 
-double affinity_selector::WeightOf(const upstream_standing& upstream,
-                                   bool large_answer) const {
+double affinity_selector::PlacementWeight(const upstream_standing& upstream,
+                                          bool large_answer) const {
   double weight = std::max(1, upstream.Record().slots) * upstream.LoadWeight();
   if (upstream.Region() != options_.region) return weight;
-  if (!large_answer) return weight * options_.region_weight;
-  weight *= options_.large_region_weight;
-  const bool in_zone = upstream.Record().zone == options_.zone;
-  return in_zone ? weight * options_.large_zone_weight : weight;
+  if (!large_answer) return weight * options_.same_region_weight;
+  weight *= options_.large_answer_region_weight;
+  const bool same_zone = upstream.Record().zone == options_.zone;
+  return same_zone ? weight * options_.large_answer_zone_weight : weight;
 }
 
-// Leaves the upstreams that share the object, the preferred one first. All
-// stand in its region, so that a flood does not move a region's requests to
-// others from one second to the next.
-void affinity_selector::KeepReplicas(std::vector<candidate>& candidates) const {
+// Reduces `candidates` to the replicas that share the object, the preferred one
+// first. All are in the region of the preferred one, so that a flood does not
+// move the requests of a region to other regions within seconds.
+void affinity_selector::KeepPreferredReplicas(
+    std::vector<candidate>& candidates) const {
   std::sort(
       candidates.begin(), candidates.end(),
       [](const candidate& a, const candidate& b) { return a.cost < b.cost; });
@@ -136,60 +137,63 @@
 }
 
 // Returns a nearly idle replica for an object whose preferred upstream is full.
-// A busy one would serve the object cold, in the time of several warm requests.
-const upstream_standing* affinity_selector::SpareReplica(
+// A busy replica would serve the object cold, in the time of several warm
+// requests.
+const upstream_standing* affinity_selector::FindSpareReplica(
     const std::vector<candidate>& replicas, monotonic_time now) const {
   for (std::size_t i = 1; i < replicas.size(); ++i) {
-    if (LoadOf(*replicas[i].upstream, now) < options_.spare_load) {
+    if (LoadPerSlot(*replicas[i].upstream, now) < options_.spare_replica_load) {
       return replicas[i].upstream;
     }
   }
   return nullptr;
 }
 
-// Under overload an upstream serves as many requests with a short queue as with
-// a long one, but only those with the short one in time.
+// Returns the load limit in requests per slot. Under overload an upstream
+// serves as many requests with a short queue as with a long one, but only the
+// short queue keeps them within the latency goal.
 double affinity_selector::LoadLimit(const selection_request& request) const {
   const duration service_time = service_time_.Median();
   if (service_time <= duration::zero() ||
       request.latency_goal <= duration::zero()) {
-    return options_.load_limit;
+    return options_.max_load_limit;
   }
   return std::clamp(ToSeconds(request.latency_goal) / ToSeconds(service_time),
-                    options_.least_load_limit, options_.load_limit);
+                    options_.min_load_limit, options_.max_load_limit);
 }
 
 std::variant<selection, selection_error> affinity_selector::Choose(
     const selection_request& request, monotonic_time now) const {
   if (upstreams_.empty()) return selection_error::kNoneKnown;
-  // Ejection must leave half of the upstreams: where more than that fail, the
-  // cause lies elsewhere and the rest would be overrun.
+  // Ejections are ignored if more than half of the upstreams are ejected: the
+  // cause is then likely elsewhere, and the remaining upstreams would be
+  // overloaded.
   const auto ejected = static_cast<std::size_t>(
       std::count_if(upstreams_.begin(), upstreams_.end(),
                     [now](const auto& u) { return u.second.IsEjected(now); }));
-  const bool spare_ejected = 2 * ejected > upstreams_.size();
-  std::vector<candidate> best;
+  const bool include_ejected = 2 * ejected > upstreams_.size();
+  std::vector<candidate> candidates;
   bool allowed = false;
   for (const auto& [id, upstream] : upstreams_) {
     if (!IsAllowed(upstream, request)) continue;
     allowed = true;
-    if (!IsAvailable(upstream, request, spare_ejected, now)) continue;
+    if (!IsAvailable(upstream, request, include_ejected, now)) continue;
     const double cost =
         RendezvousCost(request.object, upstream.Hash(),
-                       WeightOf(upstream, request.large_answer));
-    best.push_back({cost, &upstream});
+                       PlacementWeight(upstream, request.large_answer));
+    candidates.push_back({cost, &upstream});
   }
   if (!allowed) return selection_error::kNotAllowed;
-  if (best.empty()) return selection_error::kUnavailable;
-  KeepReplicas(best);
-  const upstream_standing* upstream = best[0].upstream;
-  if (LoadOf(*upstream, now) >= LoadLimit(request)) {
-    upstream = SpareReplica(best, now);
+  if (candidates.empty()) return selection_error::kUnavailable;
+  KeepPreferredReplicas(candidates);
+  const upstream_standing* upstream = candidates[0].upstream;
+  if (LoadPerSlot(*upstream, now) >= LoadLimit(request)) {
+    upstream = FindSpareReplica(candidates, now);
     if (upstream == nullptr) return selection_error::kBusy;
   }
   return selection{upstream->Record().id, upstream->Load(now),
                    upstream->Record().slots, upstream->IsCold(now),
-                   upstream == best[0].upstream};
+                   upstream == candidates[0].upstream};
 }
 
 }  // namespace citron
--- a/src/policy/upstream_standing.cc
+++ b/src/policy/upstream_standing.cc
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Weight of the newest outcome in the failure rate: the last ten or so count.
+// Weight of the newest outcome in the failure rate: covers about the last ten
+// outcomes.
 constexpr double kOutcomeWeight = 0.12;
 
 bool IsAnswer(upstream_outcome outcome) {
@@ -17,8 +18,9 @@
 
 }  // namespace
 
-// Load pattern: upstreams that die, return cold, fail part of their requests or
-// are shared by many VMs. A VM judges by its own outcomes and reported loads.
+// Load pattern: upstreams that crash, return cold, fail a fraction of their
+// requests or are shared by many VMs. Each VM judges an upstream by the
+// outcomes of its own requests and by reported loads.
 
 upstream_standing::upstream_standing(const upstream_record& record,
                                      const region_id& region,
@@ -33,18 +35,18 @@
 
 void upstream_standing::OnRecord(const upstream_record& record,
                                  monotonic_time now) {
-  const bool started_anew =
+  const bool restarted =
       record.born_ms != record_.born_ms || record.address != record_.address;
   record_ = record;
-  told_leaving_ = false;
+  reported_leaving_ = false;
   may_have_restarted_ = false;
-  if (started_anew) {
-    failures_in_row_ = 0;
-    avoided_until_ = {};
+  if (restarted) {
+    connect_failures_ = 0;
+    backoff_until_ = {};
     failure_rate_ = 0;
     samples_ = 0;
     ejected_until_ = {};
-    foreign_load_ = 0;
+    other_callers_load_ = 0;
     weight_.Reset();
   }
   OnCold(record.cold_left, now);
@@ -72,25 +74,26 @@
 
 void upstream_standing::OnReport(const load_report& report,
                                  monotonic_time now) {
-  // The request whose answer brings the report isn't in it any more, nor in
-  // the count of this VM once it is done.
-  SetLoad(report.running + report.waiting, in_flight_ - 1, report.slots, now);
+  // The report excludes the request that it arrives with, so the local count
+  // excludes it as well; OnDone has not run for it yet.
+  UpdateLoad(report.running + report.waiting, in_flight_ - 1, report.slots,
+             now);
 }
 
 void upstream_standing::OnHeardLoad(int requests, monotonic_time now) {
-  SetLoad(requests, in_flight_, record_.slots, now);
+  UpdateLoad(requests, in_flight_, record_.slots, now);
 }
 
-void upstream_standing::SetLoad(int requests, int own, int slots,
-                                monotonic_time now) {
-  foreign_load_ = std::max(0, requests - own);
+void upstream_standing::UpdateLoad(int requests, int local_in_flight, int slots,
+                                   monotonic_time now) {
+  other_callers_load_ = std::max(0, requests - local_in_flight);
   reported_at_ = now;
   weight_.OnLoad(static_cast<double>(requests) / std::max(1, slots), now);
 }
 
 int upstream_standing::Load(monotonic_time now) const {
   const bool counts = now - reported_at_ < options_.report_lifetime;
-  return in_flight_ + (counts ? foreign_load_ : 0);
+  return in_flight_ + (counts ? other_callers_load_ : 0);
 }
 
 void upstream_standing::OnDone(upstream_outcome outcome, monotonic_time now) {
@@ -99,12 +102,12 @@
   const bool failed = !IsAnswer(outcome);
   failure_rate_ += kOutcomeWeight * ((failed ? 1.0 : 0.0) - failure_rate_);
   ++samples_;
-  if (failure_rate_ > options_.ejection_rate &&
-      samples_ >= options_.ejection_samples) {
-    ejected_until_ = now + options_.ejection;
-    // It starts its return with a clean record, or it would never be judged
-    // by anything new.
-    failure_rate_ = options_.ejection_rate / 2;
+  if (failure_rate_ > options_.ejection_failure_rate &&
+      samples_ >= options_.min_ejection_samples) {
+    ejected_until_ = now + options_.ejection_duration;
+    // The upstream returns with a lower rate and no samples, so that new
+    // outcomes decide about the next ejection.
+    failure_rate_ = options_.ejection_failure_rate / 2;
     samples_ = 0;
   }
   switch (outcome) {
@@ -112,34 +115,36 @@
       OnConnectFailure(now);
       break;
     case upstream_outcome::kLeavingNotRun:
-      told_leaving_ = true;
+      reported_leaving_ = true;
       break;
     case upstream_outcome::kAnswered:
     case upstream_outcome::kServerError:
-      failures_in_row_ = 0;
-      if (may_have_restarted_ && no_restart_at_ == monotonic_time::max()) {
-        no_restart_at_ = now + options_.restart_news;
+      connect_failures_ = 0;
+      if (may_have_restarted_ &&
+          restart_ruled_out_at_ == monotonic_time::max()) {
+        restart_ruled_out_at_ = now + options_.restart_report_delay;
       }
       break;
     default:
-      // A single lost answer says little: the next connection tells whether
-      // the upstream is there.
+      // A single lost answer says little: the next connection attempt shows
+      // whether the upstream is reachable.
       break;
   }
 }
 
 void upstream_standing::OnConnectFailure(monotonic_time now) {
   may_have_restarted_ = true;
-  no_restart_at_ = monotonic_time::max();
-  const int doublings = std::min(failures_in_row_, 6);
-  ++failures_in_row_;
-  avoided_until_ = now + std::min(options_.first_avoidance * (1 << doublings),
-                                  options_.longest_avoidance);
+  restart_ruled_out_at_ = monotonic_time::max();
+  const int doublings = std::min(connect_failures_, 6);
+  ++connect_failures_;
+  backoff_until_ = now + std::min(options_.initial_backoff * (1 << doublings),
+                                  options_.max_backoff);
 }
 
 bool upstream_standing::IsCold(monotonic_time now) const {
-  const bool may_be_new = may_have_restarted_ && now < no_restart_at_;
-  return may_be_new || now < cold_until_;
+  const bool restart_possible =
+      may_have_restarted_ && now < restart_ruled_out_at_;
+  return restart_possible || now < cold_until_;
 }
 
 double upstream_standing::ColdTokens(monotonic_time now) const {
@@ -148,7 +153,7 @@
   return std::min(allowance_.burst, cold_tokens_ + gained);
 }
 
-bool upstream_standing::HasColdRoom(monotonic_time now) const {
+bool upstream_standing::CanTakeColdRequest(monotonic_time now) const {
   return ColdTokens(now) >= 1;
 }
 
--- a/tests/policy/affinity_selector_test.cc
+++ b/tests/policy/affinity_selector_test.cc
@@ -27,16 +27,16 @@
     selector_options options;
     options.zone = zone_id("z0");
     options.region = region_id("r0");
-    options.region_weight = 1;
-    options.large_zone_weight = 1;
-    options.large_region_weight = 8;
+    options.same_region_weight = 1;
+    options.large_answer_zone_weight = 1;
+    options.large_answer_region_weight = 8;
     options.replicas = 2;
-    options.load_limit = 2;
-    options.spare_load = 0.5;
+    options.max_load_limit = 2;
+    options.spare_replica_load = 0.5;
     return options;
   }
 
-  // Two zones a region: upstream i stands in zone i % 4.
+  // Adds upstream i in zone i % 4. Each region has two zones.
   void Add(affinity_selector& selector, int i) const {
     upstream_record record;
     record.id = upstream_id(fmt::format("u{}", i));
@@ -71,20 +71,21 @@
 
 BOOST_FIXTURE_TEST_SUITE(choice, selector_fixture)
 
-// Many VMs that don't talk to each other serve the same objects. If they chose
-// differently, each upstream would meet every object and stay cold.
+// VMs choose upstreams without communicating. If they chose differently, each
+// upstream would receive every object and stay cold.
 BOOST_AUTO_TEST_CASE(AllVmsChooseTheSameUpstreamForAnObject) {
   affinity_selector other(Options());
   for (int i = kUpstreams - 1; i >= 0; --i) Add(other, i);
   for (int object = 0; object < 200; ++object) {
-    const auto there = other.Choose(Object(object), now_);
+    const auto other_choice = other.Choose(Object(object), now_);
     BOOST_TEST(Chosen(Object(object)) ==
-               std::get<selection>(there).upstream.Str());
+               std::get<selection>(other_choice).upstream.Str());
   }
 }
 
-// An upstream goes away. Objects of the others must stay where they are warm.
-BOOST_AUTO_TEST_CASE(OnlyTheObjectsOfALostUpstreamMove) {
+// After an upstream is removed, the objects of the other upstreams stay where
+// they are warm.
+BOOST_AUTO_TEST_CASE(OnlyObjectsOfARemovedUpstreamMove) {
   std::map<int, std::string> before;
   for (int object = 0; object < 500; ++object) {
     before[object] = Chosen(Object(object));
@@ -106,10 +107,10 @@
   }
 }
 
-// One object takes a large part of the traffic. Its upstream must not be
-// overrun, a second one helps as long as it is nearly free, and what both can't
-// take is refused instead of making the object known to all others.
-BOOST_AUTO_TEST_CASE(AHotObjectHasFewCopiesAndIsRefusedBeyondThem) {
+// One object has a large share of the traffic. Its upstream must not be
+// overloaded, a second upstream helps while it is nearly idle, and the excess
+// is rejected instead of spreading the object to all other upstreams.
+BOOST_AUTO_TEST_CASE(AHotObjectHasFewReplicasAndIsRejectedBeyondThem) {
   const selection_request hot = Object(7);
   std::set<std::string> used;
   int sent = 0;
@@ -120,13 +121,14 @@
   }
   BOOST_TEST(Chosen(hot) == "busy");
   BOOST_TEST(used.size() == 2u);
-  // Twice the slots of the first, and half of those of the second.
+  // With three slots each: the first upstream takes two requests per slot, the
+  // second takes requests while its load is below half a request per slot.
   BOOST_TEST(sent == 6 + 2);
 }
 
-// A flood fills the first upstreams of many objects. What spills over must stay
-// in their regions: the links between regions are narrow, and the receiving
-// region is warm for other objects.
+// A flood fills the preferred upstreams of many objects. The overflow must stay
+// in their regions: links between regions are narrow, and the other region is
+// warm for other objects.
 BOOST_AUTO_TEST_CASE(AFloodDoesNotMoveObjectsToAnotherRegion) {
   const auto region_of = [this](const std::string& id) {
     return selector_.Find(upstream_id(id))->Region().Str();
@@ -149,7 +151,7 @@
   BOOST_TEST(spilled > 0);
 }
 
-BOOST_AUTO_TEST_CASE(AllowedRegionsBindAlsoWhenAllIsBusyThere) {
+BOOST_AUTO_TEST_CASE(AllowedRegionsHoldWhenTheirUpstreamsAreBusy) {
   const std::set<region_id> homes{region_id("r1")};
   selection_request request = Object(1);
   request.workspace_homes = &homes;
@@ -165,7 +167,7 @@
   BOOST_TEST(Chosen(request) == "not_allowed");
 }
 
-BOOST_AUTO_TEST_CASE(AClosedZoneGetsNothing) {
+BOOST_AUTO_TEST_CASE(AClosedZoneGetsNoRequests) {
   selector_.SetClosedZones({zone_id("z0"), zone_id("z2")});
   for (int object = 0; object < 300; ++object) {
     const zone_id zone =
@@ -174,7 +176,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(WhatWasTriedIsNotTriedAgain) {
+BOOST_AUTO_TEST_CASE(TriedUpstreamsAreNotChosenAgain) {
   selection_request request = Object(5);
   std::vector<upstream_id> tried;
   request.tried = &tried;
@@ -187,9 +189,9 @@
   BOOST_TEST(Chosen(request) == "unavailable");
 }
 
-// A zone is cut off. After two upstreams there could not be connected to, the
-// others must not cost a request a connect timeout each.
-BOOST_AUTO_TEST_CASE(AZoneOutOfReachIsLeftAloneAsAWhole) {
+// A zone is partitioned. After two connect timeouts in the zone, its other
+// upstreams must not cost a request a connect timeout each.
+BOOST_AUTO_TEST_CASE(AnUnreachableZoneIsExcluded) {
   selector_.OnConnectTimeout(zone_id("z2"), now_);
   selector_.OnConnectTimeout(zone_id("z2"), now_);
   for (int object = 0; object < 300; ++object) {
@@ -207,9 +209,10 @@
   BOOST_TEST(zones.contains("z2"));
 }
 
-// Most upstreams of a service begin to fail at once, as when something behind
-// them is down. Taking them all out would send everything to the few others.
-BOOST_AUTO_TEST_CASE(EjectionLeavesHalfOfTheUpstreams) {
+// Most upstreams of a service start to fail at once, for example because a
+// shared dependency is down. Ejecting all of them would send all traffic to the
+// few others.
+BOOST_AUTO_TEST_CASE(EjectionsAreIgnoredWhenMostUpstreamsAreEjected) {
   for (int i = 0; i < 8; ++i) {
     upstream_standing* upstream =
         selector_.Find(upstream_id(fmt::format("u{}", i)));
@@ -225,7 +228,7 @@
   BOOST_TEST(used.size() == static_cast<std::size_t>(kUpstreams));
 }
 
-BOOST_AUTO_TEST_CASE(LargeAnswersComeFromNear) {
+BOOST_AUTO_TEST_CASE(LargeAnswersPreferTheLocalRegion) {
   selection_request request;
   request.large_answer = true;
   int near = 0;
@@ -234,7 +237,8 @@
     const std::string chosen = Chosen(request);
     if (selector_.Find(upstream_id(chosen))->Region().Str() == "r0") ++near;
   }
-  // Eight times the weight for half of the upstreams: 8 of 9.
+  // The local region has eight times the weight and half of the upstreams: 8 of
+  // 9.
   BOOST_TEST(near > 840);
 }
 
--- a/tests/policy/upstream_standing_test.cc
+++ b/tests/policy/upstream_standing_test.cc
@@ -23,7 +23,7 @@
     return made;
   }
 
-  // One request with that end.
+  // Plays one request with the given outcome.
   void Play(upstream_standing& upstream, upstream_outcome outcome) {
     upstream.OnSent(now_);
     upstream.OnDone(outcome, now_);
@@ -35,39 +35,39 @@
 
 BOOST_FIXTURE_TEST_SUITE(standing, standing_fixture)
 
-BOOST_AUTO_TEST_CASE(WorkOfOtherVmsCountsForAWhile) {
+BOOST_AUTO_TEST_CASE(LoadOfOtherVmsExpires) {
   upstream_standing upstream = Make();
   upstream.OnSent(now_);
   upstream.OnSent(now_);
   upstream.OnReport({3, 2, 4}, now_);
   upstream.OnDone(upstream_outcome::kAnswered, now_);
-  // One of ours is left; the report named five, the answered one not among
-  // them.
+  // One local request is left. The report counts five requests without the
+  // answered one.
   BOOST_TEST(upstream.Load(now_) == 5);
   now_ += seconds(2);
   BOOST_TEST(upstream.Load(now_) == 1);
 }
 
-// An upstream dies. It must be left alone at once, longer with each failure,
-// and be tried by single requests afterwards.
-BOOST_AUTO_TEST_CASE(FailuresInARowKeepItOutLonger) {
+// An upstream crashes. It must be avoided at once, longer with each failure,
+// and then take one request at a time.
+BOOST_AUTO_TEST_CASE(ConsecutiveConnectFailuresExtendTheBackoff) {
   upstream_standing upstream = Make();
   Play(upstream, upstream_outcome::kConnectFailedNotRun);
-  BOOST_TEST(upstream.IsAvoided(now_ + milliseconds(399)));
-  BOOST_TEST(!upstream.IsAvoided(now_ + milliseconds(400)));
+  BOOST_TEST(upstream.IsInBackoff(now_ + milliseconds(399)));
+  BOOST_TEST(!upstream.IsInBackoff(now_ + milliseconds(400)));
   Play(upstream, upstream_outcome::kConnectFailedNotRun);
-  BOOST_TEST(upstream.IsAvoided(now_ + milliseconds(799)));
+  BOOST_TEST(upstream.IsInBackoff(now_ + milliseconds(799)));
   for (int i = 0; i < 20; ++i) {
     Play(upstream, upstream_outcome::kConnectFailedNotRun);
   }
-  BOOST_TEST(!upstream.IsAvoided(now_ + seconds(4)));
-  BOOST_TEST(upstream.IsOnTrial());
+  BOOST_TEST(!upstream.IsInBackoff(now_ + seconds(4)));
+  BOOST_TEST(upstream.IsOnProbation());
   Play(upstream, upstream_outcome::kAnswered);
-  BOOST_TEST(!upstream.IsOnTrial());
+  BOOST_TEST(!upstream.IsOnProbation());
 }
 
-// An upstream answers its health checks and fails half of its requests. Its
-// outcomes must take it out, and it must be tried again after a while.
+// An upstream passes its health checks but fails half of its requests. The
+// outcomes must eject it, and it must be tried again later.
 BOOST_AUTO_TEST_CASE(ManyFailedAnswersEjectIt) {
   upstream_standing upstream = Make();
   for (int i = 0; i < 20; ++i) {
@@ -87,16 +87,16 @@
   }
 }
 
-// Callers who leave say nothing of the upstream.
-BOOST_AUTO_TEST_CASE(CancelledRequestsAreNotHeldAgainstIt) {
+// A cancelled request says nothing about the upstream.
+BOOST_AUTO_TEST_CASE(CancelledRequestsAreNotFailures) {
   upstream_standing upstream = Make();
   for (int i = 0; i < 50; ++i) Play(upstream, upstream_outcome::kCancelled);
   BOOST_TEST(upstream.FailureRate() == 0);
   BOOST_TEST(upstream.InFlight() == 0);
 }
 
-// A cold upstream breaks under more than it bears. This VM's part is all that
-// it may send.
+// A cold upstream fails under more load than it can take. This VM sends no more
+// than its allowance.
 BOOST_AUTO_TEST_CASE(AColdUpstreamGetsNoMoreThanItsAllowance) {
   record_.cold_left = seconds(3);
   upstream_standing upstream = Make();
@@ -104,21 +104,21 @@
   int sent = 0;
   for (int ms = 0; ms < 3000; ms += 10) {
     const monotonic_time at = now_ + milliseconds(ms);
-    if (!upstream.IsCold(at) || !upstream.HasColdRoom(at)) continue;
+    if (!upstream.IsCold(at) || !upstream.CanTakeColdRequest(at)) continue;
     upstream.OnSent(at);
     ++sent;
   }
-  // A burst of one and two a second.
+  // A burst of one and two requests per second.
   BOOST_TEST(sent <= 7);
   BOOST_TEST(sent >= 5);
   BOOST_TEST(!upstream.IsCold(now_ + seconds(3)));
 }
 
 // After a connect failure the upstream may have restarted and be cold. Its
-// entry changes only if it has, so that an answer and the time in which the
-// news would have come must be enough; a VM that waited for an entry would
-// hold a sound upstream for cold for ever.
-BOOST_AUTO_TEST_CASE(ARefusedConnectionMayMeanARestart) {
+// entry changes only if it has, so that an answer and the delay of a new entry
+// must suffice to rule a restart out. A VM that waited for a new entry would
+// treat a healthy upstream as cold forever.
+BOOST_AUTO_TEST_CASE(AConnectFailureMayMeanARestart) {
   upstream_standing upstream = Make();
   Play(upstream, upstream_outcome::kConnectFailedNotRun);
   BOOST_TEST(upstream.IsCold(now_ + seconds(10)));
@@ -128,16 +128,16 @@
   BOOST_TEST(!upstream.IsCold(now_ + milliseconds(2500)));
 }
 
-// Answers get lost at a sound upstream. Taking it for cold would leave most of
-// its slots unused.
-BOOST_AUTO_TEST_CASE(ALostAnswerIsNoRestart) {
+// A healthy upstream loses answers. Treating it as cold would leave most of its
+// slots unused.
+BOOST_AUTO_TEST_CASE(ALostAnswerIsNotARestart) {
   upstream_standing upstream = Make();
   Play(upstream, upstream_outcome::kConnectionLost);
   BOOST_TEST(!upstream.IsCold(now_));
-  BOOST_TEST(!upstream.IsAvoided(now_));
+  BOOST_TEST(!upstream.IsInBackoff(now_));
 }
 
-BOOST_AUTO_TEST_CASE(AnotherStartBeginsAnew) {
+BOOST_AUTO_TEST_CASE(ARestartResetsFailures) {
   upstream_standing upstream = Make();
   for (int i = 0; i < 20; ++i) {
     Play(upstream, upstream_outcome::kConnectFailedNotRun);
@@ -145,7 +145,7 @@
   record_.born_ms = 2000;
   record_.cold_left = seconds(3);
   upstream.OnRecord(record_, now_);
-  BOOST_TEST(!upstream.IsAvoided(now_));
+  BOOST_TEST(!upstream.IsInBackoff(now_));
   BOOST_TEST(!upstream.IsEjected(now_));
   BOOST_TEST(upstream.IsCold(now_));
 }
