--- a/include/citron/policy/affinity_selector.h
+++ b/include/citron/policy/affinity_selector.h
@@ -25,7 +25,7 @@
   double same_region_weight = 4;
   // Weights of upstreams in this VM's zone and region for large answers, which
   // are served nearby: a large answer that crosses zones costs more than a cold
-  // run.
+  // run. In this VM's zone both weights apply.
   double large_answer_zone_weight = 64;
   double large_answer_region_weight = 8;
   // Limits of the load, in requests per slot, below which the preferred
@@ -59,7 +59,7 @@
 enum class selection_error {
   kNoneKnown,    // No upstream of the service is announced.
   kNotAllowed,   // No upstream is in a region where the request may run.
-  kUnavailable,  // No allowed upstream is available or untried.
+  kUnavailable,  // Allowed upstreams all fail, are cold or were tried.
   kBusy,         // The replicas for the object are full.
 };
 
--- a/src/policy/upstream_standing.cc
+++ b/src/policy/upstream_standing.cc
@@ -88,7 +88,7 @@
                                    monotonic_time now) {
   other_callers_load_ = std::max(0, requests - local_in_flight);
   reported_at_ = now;
-  weight_.OnLoad(static_cast<double>(requests) / std::max(1, slots), now);
+  weight_.OnLoadReport(static_cast<double>(requests) / std::max(1, slots), now);
 }
 
 int upstream_standing::Load(monotonic_time now) const {
@@ -105,8 +105,8 @@
   if (failure_rate_ > options_.ejection_failure_rate &&
       samples_ >= options_.min_ejection_samples) {
     ejected_until_ = now + options_.ejection_duration;
-    // The upstream returns with a lower rate and no samples, so that new
-    // outcomes decide about the next ejection.
+    // The upstream returns with a lower rate and no samples; otherwise old
+    // outcomes would decide about its next ejection.
     failure_rate_ = options_.ejection_failure_rate / 2;
     samples_ = 0;
   }
--- a/tests/policy/warm_placement_test.cc
+++ b/tests/policy/warm_placement_test.cc
@@ -36,7 +36,7 @@
 
 selector_options WithoutWeightControl() {
   selector_options options;
-  options.weights.least = 1;
+  options.weights.min_weight = 1;
   return options;
 }
 
--- a/tests/policy/weight_control_test.cc
+++ b/tests/policy/weight_control_test.cc
@@ -9,11 +9,11 @@
 
 class control_fixture {
  public:
-  // Reports of one load, every half second.
+  // Reports a constant load every half second.
   void Report(double load, int seconds) {
     for (int i = 0; i < 2 * seconds; ++i) {
       now_ += milliseconds(500);
-      control_.OnLoad(load, now_);
+      control_.OnLoadReport(load, now_);
     }
   }
 
@@ -28,39 +28,39 @@
   BOOST_TEST(control_.Weight() == 1);
 }
 
-// An upstream gets more than it can carry. It must lose a part within seconds,
-// and keep enough for its recovery to be seen.
-BOOST_AUTO_TEST_CASE(AnOverloadedUpstreamLosesWeightDownToItsLeast) {
+// An upstream gets more requests than it can serve. It must lose a share of
+// them within seconds, and keep enough for its recovery to be visible.
+BOOST_AUTO_TEST_CASE(AnOverloadedUpstreamFallsToTheMinimumWeight) {
   Report(3, 5);
   BOOST_TEST(control_.Weight() < 0.5);
   Report(3, 60);
   BOOST_TEST(control_.Weight() == 0.1);
 }
 
-// A region's requests may not jump to another region from one second to the
-// next. Of two seconds of reports, however many, the weight loses at most what
-// its rate allows.
-BOOST_AUTO_TEST_CASE(TheWeightMovesNoFasterThanItsRate) {
+// The requests of a region must not move to another region from one second to
+// the next. In two seconds, however many reports arrive, the weight falls no
+// further than its rate allows.
+BOOST_AUTO_TEST_CASE(TheWeightFallsNoFasterThanItsRate) {
   Report(0.8, 2);
   for (int i = 0; i < 2000; ++i) {
     now_ += milliseconds(1);
-    control_.OnLoad(9, now_);
+    control_.OnLoadReport(9, now_);
   }
   BOOST_TEST(control_.Weight() > 0.66);
 }
 
-// After a long silence one report says nothing of the time between.
-BOOST_AUTO_TEST_CASE(OneReportAfterASilenceIsOneStep) {
+// After a long gap, one report says nothing about the time in between.
+BOOST_AUTO_TEST_CASE(OneReportAfterAGapIsOneStep) {
   Report(3, 2);
   const double before = control_.Weight();
   now_ += std::chrono::minutes(5);
-  control_.OnLoad(3, now_);
+  control_.OnLoadReport(3, now_);
   BOOST_TEST(control_.Weight() > 0.8 * before);
 }
 
-// The way back is slow: an upstream that takes all of its objects back at once
-// would be overloaded again.
-BOOST_AUTO_TEST_CASE(AWellUpstreamComesBackSlowly) {
+// The weight returns slowly: an upstream that regains all of its objects at
+// once would be overloaded again.
+BOOST_AUTO_TEST_CASE(ARecoveredUpstreamRegainsWeightSlowly) {
   Report(3, 60);
   Report(0.1, 10);
   BOOST_TEST(control_.Weight() > 0.11);
@@ -69,7 +69,7 @@
   BOOST_TEST(control_.Weight() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(ANewStartBeginsWithFullWeight) {
+BOOST_AUTO_TEST_CASE(ARestartRestoresTheFullWeight) {
   Report(3, 60);
   control_.Reset();
   BOOST_TEST(control_.Weight() == 1);
