--- a/include/citron/policy/service_time_estimate.h
+++ b/include/citron/policy/service_time_estimate.h
@@ -5,18 +5,17 @@
 
 namespace citron {
 
-// A running median of how long requests take that need not wait for a slot. A
-// mean would stand between the times of warm and cold objects and describe
-// neither.
+// Running median of the service time of requests that find a free slot. A mean
+// would lie between the times of warm and cold objects and describe neither.
 class service_time_estimate {
  public:
-  void OnServed(duration took);
-  // Zero until enough was served.
+  void OnServed(duration service_time);
+  // Returns zero until enough requests were served.
   duration Median() const;
 
  private:
   double median_s_ = 0;
-  int samples_ = 0;  // Counted as far as they matter.
+  int samples_ = 0;  // Counted up to the minimum that Median() needs.
 };
 
 }  // namespace citron
--- a/src/policy/service_time_estimate.cc
+++ b/src/policy/service_time_estimate.cc
@@ -6,27 +6,27 @@
 
 namespace {
 
-constexpr int kLeastSamples = 20;
-// The median moves by this part of itself with each sample; the first ones move
-// it by more.
+constexpr int kMinSamples = 20;
+// Fraction by which a sample moves the median. The first samples move it
+// further.
 constexpr double kStep = 0.03;
-constexpr double kFirstStep = 0.5;
+constexpr double kInitialStep = 0.5;
 
 }  // namespace
 
-void service_time_estimate::OnServed(duration took) {
-  const double took_s = ToSeconds(took);
-  samples_ = std::min(samples_ + 1, kLeastSamples);
+void service_time_estimate::OnServed(duration service_time) {
+  const double service_time_s = ToSeconds(service_time);
+  samples_ = std::min(samples_ + 1, kMinSamples);
   if (median_s_ == 0) {
-    median_s_ = took_s;
+    median_s_ = service_time_s;
     return;
   }
-  const double step = std::max(kStep, kFirstStep / samples_);
-  median_s_ *= took_s > median_s_ ? 1 + step : 1 - step;
+  const double step = std::max(kStep, kInitialStep / samples_);
+  median_s_ *= service_time_s > median_s_ ? 1 + step : 1 - step;
 }
 
 duration service_time_estimate::Median() const {
-  return samples_ < kLeastSamples ? duration::zero() : FromSeconds(median_s_);
+  return samples_ < kMinSamples ? duration::zero() : FromSeconds(median_s_);
 }
 
 }  // namespace citron
