--- a/include/citron/policy/service_split.h
+++ b/include/citron/policy/service_split.h
@@ -8,24 +8,25 @@
 
 namespace citron {
 
-// Divides the requests of one route among services in proportion to weights.
+// Divides the requests of one route among services in proportion to their
+// weights.
 class service_split {
  public:
-  // Begins anew if the services or weights are others than before.
+  // Resets the deficits if the services or their weights change.
   void SetServices(const std::vector<service_weight>& services);
 
-  // The service of the next request. Requests of one object mostly get the
-  // same. There must be a service.
+  // Returns the service for the next request. Requests of one object mostly get
+  // the same service. Requires at least one service.
   const service_id& Choose(std::uint64_t object);
 
  private:
-  struct part {
+  struct service_share {
     service_weight service;
     double share = 0;
-    double deficit = 0;  // Requests that it should have had, and hadn't.
+    double deficit = 0;  // Requests due to the service but sent to others.
   };
 
-  std::vector<part> parts_;
+  std::vector<service_share> shares_;
 };
 
 }  // namespace citron
--- a/src/policy/service_split.cc
+++ b/src/policy/service_split.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Requests by which a part may stray from its share before objects give way.
-// Each VM strays by as much at most, so that with ten VMs and 300 requests the
-// parts stay within a tenth of their weights.
-constexpr double kMostDeficit = 2.0;
+// Requests by which a service may deviate from its share before objects move.
+// Each VM deviates by at most this number, so that with ten VMs and 300
+// requests the services stay within a tenth of their weights.
+constexpr double kMaxDeficit = 2.0;
 constexpr std::uint64_t kSplitSalt = 0x5b1d0f3a92c4e687ULL;
 
 bool SameServices(const std::vector<service_weight>& a,
@@ -24,35 +24,35 @@
 
 }  // namespace
 
-// Answers: few objects with most of the requests. Objects divided by hash alone
-// keep upstreams warm, but a hot one takes its whole load to one part, and the
-// operator's weights are missed; requests dealt in turn keep the weights and
-// leave every object cold at every part. So objects decide, until a part has
-// strayed.
+// Load pattern: few objects with most of the requests. A division by object
+// hash alone keeps upstreams warm, but a hot object puts its whole load on one
+// service and misses the weights of the operator. Round robin keeps the weights
+// but leaves every object cold at every service. So the object hash decides
+// until a service deviates too far.
 
 void service_split::SetServices(const std::vector<service_weight>& services) {
   std::vector<service_weight> present;
-  for (const part& p : parts_) present.push_back(p.service);
+  for (const service_share& p : shares_) present.push_back(p.service);
   if (SameServices(present, services)) return;
-  parts_.clear();
+  shares_.clear();
   double sum = 0;
   for (const service_weight& s : services) sum += s.weight;
   for (const service_weight& s : services) {
     const double share =
         sum > 0 ? s.weight / sum : 1.0 / static_cast<double>(services.size());
-    parts_.push_back({s, share, 0});
+    shares_.push_back({s, share, 0});
   }
 }
 
 const service_id& service_split::Choose(std::uint64_t object) {
-  if (parts_.size() == 1) return parts_.front().service.service;
+  if (shares_.size() == 1) return shares_.front().service.service;
   std::size_t chosen = 0;
   double best_cost = 0;
-  std::size_t poorest = 0;
-  for (std::size_t i = 0; i < parts_.size(); ++i) {
-    part& p = parts_[i];
+  std::size_t most_underserved = 0;
+  for (std::size_t i = 0; i < shares_.size(); ++i) {
+    service_share& p = shares_[i];
     p.deficit += p.share;
-    if (p.deficit > parts_[poorest].deficit) poorest = i;
+    if (p.deficit > shares_[most_underserved].deficit) most_underserved = i;
     if (p.share <= 0) continue;
     const double cost =
         RendezvousCost(object, MixHashes(kSplitSalt, i), p.share);
@@ -60,11 +60,11 @@
     best_cost = cost;
     chosen = i;
   }
-  const bool strays = parts_[poorest].deficit > kMostDeficit ||
-                      parts_[chosen].deficit < -kMostDeficit;
-  if (strays) chosen = poorest;
-  parts_[chosen].deficit -= 1;
-  return parts_[chosen].service.service;
+  const bool deviates = shares_[most_underserved].deficit > kMaxDeficit ||
+                        shares_[chosen].deficit < -kMaxDeficit;
+  if (deviates) chosen = most_underserved;
+  shares_[chosen].deficit -= 1;
+  return shares_[chosen].service.service;
 }
 
 }  // namespace citron
--- a/tests/policy/service_split_test.cc
+++ b/tests/policy/service_split_test.cc
@@ -9,21 +9,21 @@
 namespace citron {
 namespace {
 
-service_weight Part(const char* service, double weight) {
+service_weight Weighted(const char* service, double weight) {
   return {service_id(service), weight};
 }
 
-BOOST_AUTO_TEST_CASE(OneServiceGetsAll) {
+BOOST_AUTO_TEST_CASE(OneServiceGetsAllRequests) {
   service_split split;
-  split.SetServices({Part("a", 0)});
+  split.SetServices({Weighted("a", 0)});
   BOOST_TEST(split.Choose(1).Str() == "a");
 }
 
-// One object has nine of ten requests. By hash alone its whole load would go
-// to one part, and the operator's weights would be missed by far.
-BOOST_AUTO_TEST_CASE(AHotObjectDoesNotBreakTheWeights) {
+// One object has nine of ten requests. By hash alone its whole load would go to
+// one service, and the weights of the operator would be missed by far.
+BOOST_AUTO_TEST_CASE(AHotObjectKeepsTheWeights) {
   service_split split;
-  split.SetServices({Part("a", 70), Part("b", 30)});
+  split.SetServices({Weighted("a", 70), Weighted("b", 30)});
   std::map<std::string, int> counts;
   for (int i = 0; i < 1000; ++i) {
     const int object = i % 10 == 0 ? i : -1;
@@ -33,9 +33,9 @@
   BOOST_TEST(counts["a"] <= 710);
 }
 
-BOOST_AUTO_TEST_CASE(APartWithoutWeightGetsNothing) {
+BOOST_AUTO_TEST_CASE(AServiceWithoutWeightGetsNoRequests) {
   service_split split;
-  split.SetServices({Part("a", 0), Part("b", 10)});
+  split.SetServices({Weighted("a", 0), Weighted("b", 10)});
   for (std::uint64_t i = 0; i < 200; ++i) {
     BOOST_TEST(split.Choose(HashBytes(std::to_string(i))).Str() == "b");
   }
