--- a/tests/policy/warm_placement_test.cc
+++ b/tests/policy/warm_placement_test.cc
@@ -9,7 +9,8 @@
 
 constexpr std::uint64_t kSeeds = 5;
 
-// Two regions of two zones; one of the zones has a single upstream.
+// Returns two regions of two zones each; one of the zones has a single
+// upstream.
 warm_plan UnevenZones() {
   warm_plan plan;
   for (const auto& [zone, region, upstreams] :
@@ -26,11 +27,11 @@
     const warm_result one = warm_simulation(plan, options, seed).Run();
     sum.in_goal += one.in_goal;
     sum.late += one.late;
-    sum.refused += one.refused;
+    sum.rejected += one.rejected;
     sum.cold_runs += one.cold_runs;
   }
-  fmt::print("in goal {:.3f}, late {}, refused {}, cold runs {}\n",
-             sum.InGoal(), sum.late, sum.refused, sum.cold_runs);
+  fmt::print("in goal {:.3f}, late {}, rejected {}, cold runs {}\n",
+             sum.InGoalFraction(), sum.late, sum.rejected, sum.cold_runs);
   return sum;
 }
 
@@ -42,50 +43,50 @@
 
 BOOST_AUTO_TEST_SUITE(warm_placement)
 
-// The other zone of a region is closed, and both zones' callers prefer the one
-// upstream that is left there. It can't carry them, even with every object
-// warm, and its callers wait although a third of all slots are free. As all
-// work fits, nineteen in twenty are to be in time.
-BOOST_AUTO_TEST_CASE(AClosedZonesObjectsFindUpstreamsThatHaveRoom) {
+// The other zone of a region is closed, and the callers of both zones prefer
+// the one remaining upstream. It cannot serve them even with every object warm,
+// so that callers wait although a third of all slots are free. As all requests
+// fit the total capacity, nineteen of twenty must be in time.
+BOOST_AUTO_TEST_CASE(ObjectsOfAClosedZoneMoveToUpstreamsWithCapacity) {
   warm_plan plan = UnevenZones();
   plan.closed_zone = "r0a";
-  const warm_result with = Sum(plan, selector_options{});
-  const warm_result without = Sum(plan, WithoutWeightControl());
-  BOOST_TEST(with.InGoal() > 0.95);
-  BOOST_TEST(without.InGoal() < with.InGoal());
+  const warm_result with_control = Sum(plan, selector_options{});
+  const warm_result without_control = Sum(plan, WithoutWeightControl());
+  BOOST_TEST(with_control.InGoalFraction() > 0.95);
+  BOOST_TEST(without_control.InGoalFraction() < with_control.InGoalFraction());
 }
 
-// The VMs of two zones keep an object at two upstreams, and at the start each
-// object is served cold twice.
+// The VMs of two zones place an object at the same upstream. Otherwise each
+// object would be served cold twice at the start.
 BOOST_AUTO_TEST_CASE(ZonesOfARegionShareTheirObjects) {
   warm_plan plan = UnevenZones();
   for (warm_zone& zone : plan.zones) zone.requests_per_s = 15;
-  plan.first_counted_s = 0;
+  plan.count_from_s = 0;
   const warm_result start = Sum(plan, selector_options{});
   const int objects = 2 * plan.objects;
   BOOST_TEST(start.cold_runs <= static_cast<int>(kSeeds) * objects * 1.05);
 }
 
-// More requests come than all upstreams carry. With queues as long as upstreams
-// allow, nearly all are answered late; with queues that fit the goal, the
-// capacity goes to requests that are in time.
-BOOST_AUTO_TEST_CASE(UnderOverloadWhatIsServedIsInTime) {
+// More requests arrive than all upstreams can serve. With queues as long as
+// upstreams allow, nearly all answers are late; with queues that fit the
+// latency goal, the capacity goes to requests that are in time.
+BOOST_AUTO_TEST_CASE(UnderOverloadMostAnswersAreInTime) {
   warm_plan plan = UnevenZones();
   for (warm_zone& zone : plan.zones) zone.requests_per_s = 100;
-  const warm_result with = Sum(plan, selector_options{});
-  plan.tells_goal = false;
-  const warm_result without = Sum(plan, selector_options{});
-  BOOST_TEST(with.InGoal() > without.InGoal());
-  BOOST_TEST(with.late < with.in_goal);
+  const warm_result with_control = Sum(plan, selector_options{});
+  plan.passes_latency_goal = false;
+  const warm_result without_control = Sum(plan, selector_options{});
+  BOOST_TEST(with_control.InGoalFraction() > without_control.InGoalFraction());
+  BOOST_TEST(with_control.late < with_control.in_goal);
 }
 
-// On a calm day nothing is to move: what moves is served cold once.
-BOOST_AUTO_TEST_CASE(OnACalmDayObjectsStay) {
+// Under low load no object moves: each moved object is served cold once.
+BOOST_AUTO_TEST_CASE(UnderLowLoadObjectsStay) {
   warm_plan plan = UnevenZones();
   for (warm_zone& zone : plan.zones) zone.requests_per_s = 15;
-  const warm_result calm = Sum(plan, selector_options{});
-  BOOST_TEST(calm.InGoal() > 0.97);
-  BOOST_TEST(calm.cold_runs * 50 < calm.Asked());
+  const warm_result low_load = Sum(plan, selector_options{});
+  BOOST_TEST(low_load.InGoalFraction() > 0.97);
+  BOOST_TEST(low_load.cold_runs * 50 < low_load.RequestCount());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/policy/warm_simulation.h
+++ b/tests/policy/warm_simulation.h
@@ -35,48 +35,49 @@
 struct warm_plan {
   std::vector<warm_zone> zones;
   int slots = 4;
-  int queue = 12;        // What waits at one upstream; more is turned away.
-  int keeps_warm = 26;   // Objects that one upstream had last.
-  int objects = 42;      // Of each region.
-  double work_s = 0.64;  // Of a cold object.
-  double warm_part = 0.3;
-  double spread = 0.15;  // Of the work, as a part of it.
-  double goal_s = 0.5;
-  bool tells_goal = true;  // To the selectors.
-  double between_regions_s = 0.035;
+  int queue_limit = 12;  // Waiting requests at one upstream; more are rejected.
+  int warm_capacity = 26;             // Most recent objects of an upstream.
+  int objects = 42;                   // Objects of each region.
+  double cold_service_time_s = 0.64;  // Service time of a cold object.
+  double warm_time_fraction = 0.3;
+  double service_time_spread =
+      0.15;  // Standard deviation of the service time, relative.
+  double latency_goal_s = 0.5;
+  bool passes_latency_goal = true;  // Pass the goal to the selectors.
+  double cross_region_delay_s = 0.035;
   double seconds = 40;
-  double first_counted_s = 20;
-  std::string closed_zone;  // From closed_at_s on.
+  double count_from_s = 20;
+  std::string closed_zone;  // Closed from closed_at_s on; empty: none.
   double closed_at_s = 10;
 };
 
 struct warm_result {
   int in_goal = 0;
   int late = 0;
-  int refused = 0;
+  int rejected = 0;
   int cold_runs = 0;
 
-  int Asked() const { return in_goal + late + refused; }
-  double InGoal() const {
-    return static_cast<double>(in_goal) / std::max(1, Asked());
+  int RequestCount() const { return in_goal + late + rejected; }
+  double InGoalFraction() const {
+    return static_cast<double>(in_goal) / std::max(1, RequestCount());
   }
 };
 
-// Upstreams that serve objects faster which they had lately, in zones of
-// uneven size, behind one VM for each zone that chooses by a selector of its
-// own. No network: what VMs know of upstreams is what came back with answers.
+// Upstreams that serve recently served objects faster, in zones of uneven size.
+// Each zone has one VM with its own selector. No network is simulated but a
+// fixed delay: VMs know of upstreams only what arrives with answers.
 class warm_simulation {
  public:
   warm_simulation(warm_plan plan, const selector_options& options,
                   std::uint64_t seed)
       : plan_(std::move(plan)), random_(seed) {
     for (const warm_zone& zone : plan_.zones) AddZone(zone, options);
-    for (vm& v : vms_) Announce(v);
+    for (vm& v : vms_) AnnounceUpstreams(v);
   }
 
   warm_result Run() {
     for (std::size_t i = 0; i < vms_.size(); ++i) ScheduleArrival(i);
-    At(plan_.closed_at_s, [this] { CloseZone(); });
+    ScheduleAt(plan_.closed_at_s, [this] { CloseZone(); });
     while (!events_.empty() && events_.top().at < plan_.seconds) {
       const event next = events_.top();
       events_.pop();
@@ -89,10 +90,10 @@
  private:
   struct event {
     double at = 0;
-    std::uint64_t order = 0;
+    std::uint64_t sequence = 0;
     std::function<void()> run;
     bool operator<(const event& other) const {
-      return std::tie(at, order) > std::tie(other.at, other.order);
+      return std::tie(at, sequence) > std::tie(other.at, other.sequence);
     }
   };
   struct request {
@@ -106,18 +107,18 @@
     region_id region;
     int running = 0;
     std::deque<request> waiting;
-    std::list<std::uint64_t> warm;  // The last first.
+    std::list<std::uint64_t> warm;  // Most recent first.
   };
   struct vm {
     warm_zone zone;
     std::unique_ptr<affinity_selector> selector;
   };
 
-  monotonic_time Time() const {
+  monotonic_time Now() const {
     return monotonic_time(std::chrono::hours(1)) + FromSeconds(now_);
   }
-  void At(double at, std::function<void()> run) {
-    events_.push({at, ++order_, std::move(run)});
+  void ScheduleAt(double at, std::function<void()> run) {
+    events_.push({at, ++sequence_, std::move(run)});
   }
   void AddZone(const warm_zone& zone, selector_options options) {
     for (int i = 0; i < zone.upstreams; ++i) {
@@ -132,9 +133,9 @@
     options.region = region_id(zone.region);
     vms_.push_back({zone, std::make_unique<affinity_selector>(options)});
   }
-  void Announce(vm& v) {
+  void AnnounceUpstreams(vm& v) {
     for (const auto& [id, u] : upstreams_) {
-      v.selector->SetUpstream(u.record, u.region, Time());
+      v.selector->SetUpstream(u.record, u.region, Now());
     }
   }
   void CloseZone() {
@@ -145,56 +146,60 @@
   }
   void ScheduleArrival(std::size_t index) {
     std::exponential_distribution<double> gap(vms_[index].zone.requests_per_s);
-    At(now_ + gap(random_), [this, index] {
-      OnArrival(index);
+    ScheduleAt(now_ + gap(random_), [this, index] {
+      OnRequest(index);
       ScheduleArrival(index);
     });
   }
 
-  void OnArrival(std::size_t index) {
+  void OnRequest(std::size_t index) {
     vm& v = vms_[index];
     const auto number = random_(static_cast<std::uint32_t>(plan_.objects));
     request r{index, HashBytes(fmt::format("{} {}", v.zone.region, number)),
               now_};
-    selection_request asked;
-    asked.object = r.object;
-    if (plan_.tells_goal) asked.latency_goal = FromSeconds(plan_.goal_s);
-    const auto chosen = v.selector->Choose(asked, Time());
+    selection_request choice_request;
+    choice_request.object = r.object;
+    if (plan_.passes_latency_goal)
+      choice_request.latency_goal = FromSeconds(plan_.latency_goal_s);
+    const auto chosen = v.selector->Choose(choice_request, Now());
     const auto* selected = std::get_if<selection>(&chosen);
-    if (selected == nullptr) return Count(r, result_.refused);
+    if (selected == nullptr) return Count(r, result_.rejected);
     r.found_free_slot = selected->load < selected->slots;
     upstream& u = upstreams_.at(selected->upstream);
-    v.selector->Find(u.record.id)->OnSent(Time());
-    At(now_ + Way(v, u), [this, &u, r] { OnReached(u, r); });
+    v.selector->Find(u.record.id)->OnSent(Now());
+    ScheduleAt(now_ + NetworkDelay(v, u),
+               [this, &u, r] { OnArrivalAtUpstream(u, r); });
   }
-  double Way(const vm& v, const upstream& u) const {
-    return u.region.Str() == v.zone.region ? 0.0005 : plan_.between_regions_s;
+  double NetworkDelay(const vm& v, const upstream& u) const {
+    return u.region.Str() == v.zone.region ? 0.0005
+                                           : plan_.cross_region_delay_s;
   }
-  void OnReached(upstream& u, const request& r) {
+  void OnArrivalAtUpstream(upstream& u, const request& r) {
     if (u.running < plan_.slots) return Start(u, r);
-    if (static_cast<int>(u.waiting.size()) < plan_.queue) {
+    if (static_cast<int>(u.waiting.size()) < plan_.queue_limit) {
       u.waiting.push_back(r);
       return;
     }
-    At(now_ + Way(vms_[r.vm], u), [this, &u, r] {
-      Find(u, r).OnDone(upstream_outcome::kShedNotRun, Time());
-      Count(r, result_.refused);
+    ScheduleAt(now_ + NetworkDelay(vms_[r.vm], u), [this, &u, r] {
+      Find(u, r).OnDone(upstream_outcome::kShedNotRun, Now());
+      Count(r, result_.rejected);
     });
   }
   void Start(upstream& u, const request& r) {
     ++u.running;
-    const auto known = std::find(u.warm.begin(), u.warm.end(), r.object);
-    const bool is_warm = known != u.warm.end();
-    if (is_warm) u.warm.erase(known);
+    const auto warm_entry = std::find(u.warm.begin(), u.warm.end(), r.object);
+    const bool is_warm = warm_entry != u.warm.end();
+    if (is_warm) u.warm.erase(warm_entry);
     u.warm.push_front(r.object);
-    if (u.warm.size() > static_cast<std::size_t>(plan_.keeps_warm)) {
+    if (u.warm.size() > static_cast<std::size_t>(plan_.warm_capacity)) {
       u.warm.pop_back();
     }
     if (!is_warm) Count(r, result_.cold_runs);
-    std::normal_distribution<double> jitter(1, plan_.spread);
-    const double work = plan_.work_s * (is_warm ? plan_.warm_part : 1) *
-                        std::max(0.3, jitter(random_));
-    At(now_ + work, [this, &u, r] { OnWorkDone(u, r); });
+    std::normal_distribution<double> jitter(1, plan_.service_time_spread);
+    const double service_time = plan_.cold_service_time_s *
+                                (is_warm ? plan_.warm_time_fraction : 1) *
+                                std::max(0.3, jitter(random_));
+    ScheduleAt(now_ + service_time, [this, &u, r] { OnWorkDone(u, r); });
   }
   void OnWorkDone(upstream& u, const request& r) {
     --u.running;
@@ -205,15 +210,16 @@
     }
     const load_report report{u.running, static_cast<int>(u.waiting.size()),
                              plan_.slots};
-    At(now_ + Way(vms_[r.vm], u), [this, &u, r, report] {
+    ScheduleAt(now_ + NetworkDelay(vms_[r.vm], u), [this, &u, r, report] {
       upstream_standing& standing = Find(u, r);
-      standing.OnReport(report, Time());
-      standing.OnDone(upstream_outcome::kAnswered, Time());
+      standing.OnReport(report, Now());
+      standing.OnDone(upstream_outcome::kAnswered, Now());
       if (r.found_free_slot) {
-        const double took = now_ - r.arrived - 2 * Way(vms_[r.vm], u);
-        vms_[r.vm].selector->OnServed(FromSeconds(took));
+        const double service_time =
+            now_ - r.arrived - 2 * NetworkDelay(vms_[r.vm], u);
+        vms_[r.vm].selector->OnServed(FromSeconds(service_time));
       }
-      const bool in_goal = now_ - r.arrived <= plan_.goal_s;
+      const bool in_goal = now_ - r.arrived <= plan_.latency_goal_s;
       Count(r, in_goal ? result_.in_goal : result_.late);
     });
   }
@@ -221,13 +227,13 @@
     return *vms_[r.vm].selector->Find(u.record.id);
   }
   void Count(const request& r, int& counter) const {
-    if (r.arrived >= plan_.first_counted_s) ++counter;
+    if (r.arrived >= plan_.count_from_s) ++counter;
   }
 
   warm_plan plan_;
   pcg32 random_;
   double now_ = 0;
-  std::uint64_t order_ = 0;
+  std::uint64_t sequence_ = 0;
   std::priority_queue<event> events_;
   std::map<upstream_id, upstream> upstreams_;
   std::vector<vm> vms_;
