--- a/include/citron/policy/affinity_selector.h
+++ b/include/citron/policy/affinity_selector.h
@@ -28,10 +28,11 @@
   // run. In this VM's zone both weights apply.
   double large_answer_zone_weight = 64;
   double large_answer_region_weight = 8;
-  // Limits of the load, in requests per slot, below which the preferred
-  // upstream of an object takes a request. The limit between them is the number
-  // of requests that the upstream answers within the latency goal at the median
-  // service time. Upstreams queue three requests per slot and reject the rest.
+  // Bounds of the load, in requests per slot, up to which the preferred
+  // upstream of an object takes its requests. The limit between them is the
+  // number of requests that a slot answers within the latency goal at the
+  // median service time. Upstreams queue three requests per slot and reject the
+  // rest.
   double min_load_limit = 2;
   double max_load_limit = 3.5;
   // Number of upstreams that share an object. Once the preferred one reaches
--- a/include/citron/policy/upstream_standing.h
+++ b/include/citron/policy/upstream_standing.h
@@ -77,8 +77,8 @@
   // Returns the fraction of its full weight that the upstream has in the
   // choice, by its reported load.
   double LoadWeight() const { return weight_.Weight(); }
-  // Returns whether connections failed since the last answer, so that the
-  // upstream takes one request at a time.
+  // Returns whether connections failed since the last answer. The selector then
+  // sends one request at a time.
   bool IsOnProbation() const { return connect_failures_ > 0; }
   bool IsInBackoff(monotonic_time now) const { return now < backoff_until_; }
   bool IsEjected(monotonic_time now) const { return now < ejected_until_; }
--- a/include/citron/policy/weight_control.h
+++ b/include/citron/policy/weight_control.h
@@ -8,23 +8,25 @@
 struct weight_control_options {
   // Requests at an upstream per slot. Above `high_load` the upstream loses
   // objects: all slots are busy, and half as many requests wait. Below
-  // `low_load` it regains objects; between the limits its weight stays.
+  // `low_load` it regains objects; between the limits its weight is unchanged.
   double high_load = 1.5;
   double low_load = 0.6;
-  // Averaging time of the load. A single report has at most
+  // Averaging time of the load. A single report has a weight of at most
   // `max_report_weight`, so that the mean covers at least two reports.
   duration averaging_time = FromMilliseconds(1000);
   double max_report_weight = 0.5;
   // Relative change of the weight per second. Decrease: at most a quarter of
-  // this fraction of the requests of a region moves to other regions in a
-  // second, a tenth in two. Increase: the load jumps where an upstream holds
-  // more objects than it keeps warm, so that the weight returns slowly.
+  // this fraction of a region's requests moves to other regions per second, a
+  // tenth of the requests in two seconds. Increase: the load jumps where an
+  // upstream holds more objects than it keeps warm, so that the weight returns
+  // slowly.
   double decrease_per_s = 0.2;
   double increase_per_s = 0.02;
   // An upstream that stays overloaded keeps some objects; otherwise no report
   // would show its recovery.
   double min_weight = 0.1;
-  // Maximum time since the previous report that a step accounts for.
+  // Longest time between two reports that a single change of the weight
+  // accounts for.
   duration max_step = FromMilliseconds(1000);
 };
 
--- a/src/policy/service_time_estimate.cc
+++ b/src/policy/service_time_estimate.cc
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr int kMinSamples = 20;
-// Fraction by which a sample moves the median. The first samples move it
-// further.
+// Relative step by which each sample moves the median. The first samples use
+// `kInitialStep` divided by their number, a larger step.
 constexpr double kStep = 0.03;
 constexpr double kInitialStep = 0.5;
 
--- a/src/policy/upstream_standing.cc
+++ b/src/policy/upstream_standing.cc
@@ -92,8 +92,8 @@
 }
 
 int upstream_standing::Load(monotonic_time now) const {
-  const bool counts = now - reported_at_ < options_.report_lifetime;
-  return in_flight_ + (counts ? other_callers_load_ : 0);
+  const bool report_valid = now - reported_at_ < options_.report_lifetime;
+  return in_flight_ + (report_valid ? other_callers_load_ : 0);
 }
 
 void upstream_standing::OnDone(upstream_outcome outcome, monotonic_time now) {
@@ -148,9 +148,9 @@
 }
 
 double upstream_standing::ColdTokens(monotonic_time now) const {
-  const double gained =
+  const double accrued =
       allowance_.rate_per_s * ToSeconds(now - cold_tokens_at_);
-  return std::min(allowance_.burst, cold_tokens_ + gained);
+  return std::min(allowance_.burst, cold_tokens_ + accrued);
 }
 
 bool upstream_standing::CanTakeColdRequest(monotonic_time now) const {
--- a/tests/policy/affinity_selector_test.cc
+++ b/tests/policy/affinity_selector_test.cc
@@ -20,7 +20,7 @@
 class selector_fixture {
  public:
   selector_fixture() : selector_(Options()) {
-    for (int i = 0; i < kUpstreams; ++i) Add(selector_, i);
+    for (int i = 0; i < kUpstreams; ++i) AddUpstream(selector_, i);
   }
 
   static selector_options Options() {
@@ -37,7 +37,7 @@
   }
 
   // Adds upstream i in zone i % 4. Each region has two zones.
-  void Add(affinity_selector& selector, int i) const {
+  void AddUpstream(affinity_selector& selector, int i) const {
     upstream_record record;
     record.id = upstream_id(fmt::format("u{}", i));
     record.zone = zone_id(fmt::format("z{}", i % 4));
@@ -45,13 +45,13 @@
     selector.SetUpstream(record, region_id(i % 4 < 2 ? "r0" : "r1"), now_);
   }
 
-  selection_request Object(int object) const {
+  selection_request RequestForObject(int object) const {
     selection_request request;
     request.object = HashBytes(std::to_string(object));
     return request;
   }
 
-  std::string Chosen(const selection_request& request) const {
+  std::string ChosenUpstream(const selection_request& request) const {
     const auto chosen = selector_.Choose(request, now_);
     const auto* selected = std::get_if<selection>(&chosen);
     return selected == nullptr
@@ -75,10 +75,10 @@
 // upstream would receive every object and stay cold.
 BOOST_AUTO_TEST_CASE(AllVmsChooseTheSameUpstreamForAnObject) {
   affinity_selector other(Options());
-  for (int i = kUpstreams - 1; i >= 0; --i) Add(other, i);
+  for (int i = kUpstreams - 1; i >= 0; --i) AddUpstream(other, i);
   for (int object = 0; object < 200; ++object) {
-    const auto other_choice = other.Choose(Object(object), now_);
-    BOOST_TEST(Chosen(Object(object)) ==
+    const auto other_choice = other.Choose(RequestForObject(object), now_);
+    BOOST_TEST(ChosenUpstream(RequestForObject(object)) ==
                std::get<selection>(other_choice).upstream.Str());
   }
 }
@@ -88,18 +88,19 @@
 BOOST_AUTO_TEST_CASE(OnlyObjectsOfARemovedUpstreamMove) {
   std::map<int, std::string> before;
   for (int object = 0; object < 500; ++object) {
-    before[object] = Chosen(Object(object));
+    before[object] = ChosenUpstream(RequestForObject(object));
   }
   selector_.RemoveUpstream(upstream_id("u3"));
   for (const auto& [object, upstream] : before) {
-    if (upstream != "u3") BOOST_TEST(Chosen(Object(object)) == upstream);
+    if (upstream != "u3")
+      BOOST_TEST(ChosenUpstream(RequestForObject(object)) == upstream);
   }
 }
 
 BOOST_AUTO_TEST_CASE(ObjectsAreSpreadOverAllUpstreams) {
   std::map<std::string, int> counts;
   for (int object = 0; object < 6000; ++object)
-    ++counts[Chosen(Object(object))];
+    ++counts[ChosenUpstream(RequestForObject(object))];
   BOOST_TEST(counts.size() == static_cast<std::size_t>(kUpstreams));
   for (const auto& [upstream, count] : counts) {
     BOOST_TEST(count > 350);
@@ -111,15 +112,16 @@
 // overloaded, a second upstream helps while it is nearly idle, and the excess
 // is rejected instead of spreading the object to all other upstreams.
 BOOST_AUTO_TEST_CASE(AHotObjectHasFewReplicasAndIsRejectedBeyondThem) {
-  const selection_request hot = Object(7);
+  const selection_request hot = RequestForObject(7);
   std::set<std::string> used;
   int sent = 0;
-  while (Chosen(hot).starts_with("u") && Chosen(hot) != "unavailable") {
-    used.insert(Chosen(hot));
-    Fill(Chosen(hot), 1);
+  while (ChosenUpstream(hot).starts_with("u") &&
+         ChosenUpstream(hot) != "unavailable") {
+    used.insert(ChosenUpstream(hot));
+    Fill(ChosenUpstream(hot), 1);
     BOOST_REQUIRE(++sent < 100);
   }
-  BOOST_TEST(Chosen(hot) == "busy");
+  BOOST_TEST(ChosenUpstream(hot) == "busy");
   BOOST_TEST(used.size() == 2u);
   // With three slots each: the first upstream takes two requests per slot, the
   // second takes requests while its load is below half a request per slot.
@@ -135,12 +137,12 @@
   };
   std::map<int, std::string> before;
   for (int object = 0; object < 200; ++object) {
-    before[object] = region_of(Chosen(Object(object)));
+    before[object] = region_of(ChosenUpstream(RequestForObject(object)));
   }
   int spilled = 0;
   for (int i = 0; i < 60; ++i) {
     for (const auto& [object, region] : before) {
-      const auto chosen = selector_.Choose(Object(object), now_);
+      const auto chosen = selector_.Choose(RequestForObject(object), now_);
       const auto* selected = std::get_if<selection>(&chosen);
       if (selected == nullptr) continue;
       if (!selected->first_choice) ++spilled;
@@ -153,40 +155,42 @@
 
 BOOST_AUTO_TEST_CASE(AllowedRegionsHoldWhenTheirUpstreamsAreBusy) {
   const std::set<region_id> homes{region_id("r1")};
-  selection_request request = Object(1);
+  selection_request request = RequestForObject(1);
   request.workspace_homes = &homes;
   for (int i = 0; i < 300; ++i) {
     request.object = HashBytes(std::to_string(i));
-    const std::string chosen = Chosen(request);
+    const std::string chosen = ChosenUpstream(request);
     if (chosen == "busy") continue;
     BOOST_TEST(selector_.Find(upstream_id(chosen))->Region().Str() == "r1");
     Fill(chosen, 1);
   }
   const std::set<region_id> nowhere{region_id("r9")};
   request.route_homes = &nowhere;
-  BOOST_TEST(Chosen(request) == "not_allowed");
+  BOOST_TEST(ChosenUpstream(request) == "not_allowed");
 }
 
 BOOST_AUTO_TEST_CASE(AClosedZoneGetsNoRequests) {
   selector_.SetClosedZones({zone_id("z0"), zone_id("z2")});
   for (int object = 0; object < 300; ++object) {
     const zone_id zone =
-        selector_.Find(upstream_id(Chosen(Object(object))))->Record().zone;
+        selector_.Find(upstream_id(ChosenUpstream(RequestForObject(object))))
+            ->Record()
+            .zone;
     BOOST_TEST((zone.Str() == "z1" || zone.Str() == "z3"));
   }
 }
 
 BOOST_AUTO_TEST_CASE(TriedUpstreamsAreNotChosenAgain) {
-  selection_request request = Object(5);
+  selection_request request = RequestForObject(5);
   std::vector<upstream_id> tried;
   request.tried = &tried;
   std::set<std::string> seen;
   for (int i = 0; i < kUpstreams; ++i) {
-    const std::string chosen = Chosen(request);
+    const std::string chosen = ChosenUpstream(request);
     BOOST_TEST(seen.insert(chosen).second);
     tried.emplace_back(chosen);
   }
-  BOOST_TEST(Chosen(request) == "unavailable");
+  BOOST_TEST(ChosenUpstream(request) == "unavailable");
 }
 
 // A zone is partitioned. After two connect timeouts in the zone, its other
@@ -195,16 +199,18 @@
   selector_.OnConnectTimeout(zone_id("z2"), now_);
   selector_.OnConnectTimeout(zone_id("z2"), now_);
   for (int object = 0; object < 300; ++object) {
-    BOOST_TEST(selector_.Find(upstream_id(Chosen(Object(object))))
-                   ->Record()
-                   .zone.Str() != "z2");
+    BOOST_TEST(
+        selector_.Find(upstream_id(ChosenUpstream(RequestForObject(object))))
+            ->Record()
+            .zone.Str() != "z2");
   }
   now_ += seconds(2);
   std::set<std::string> zones;
   for (int object = 0; object < 300; ++object) {
-    zones.insert(selector_.Find(upstream_id(Chosen(Object(object))))
-                     ->Record()
-                     .zone.Str());
+    zones.insert(
+        selector_.Find(upstream_id(ChosenUpstream(RequestForObject(object))))
+            ->Record()
+            .zone.Str());
   }
   BOOST_TEST(zones.contains("z2"));
 }
@@ -224,7 +230,7 @@
   }
   std::set<std::string> used;
   for (int object = 0; object < 600; ++object)
-    used.insert(Chosen(Object(object)));
+    used.insert(ChosenUpstream(RequestForObject(object)));
   BOOST_TEST(used.size() == static_cast<std::size_t>(kUpstreams));
 }
 
@@ -234,7 +240,7 @@
   int near = 0;
   for (int object = 0; object < 1000; ++object) {
     request.object = HashBytes(std::to_string(object));
-    const std::string chosen = Chosen(request);
+    const std::string chosen = ChosenUpstream(request);
     if (selector_.Find(upstream_id(chosen))->Region().Str() == "r0") ++near;
   }
   // The local region has eight times the weight and half of the upstreams: 8 of
--- a/tests/policy/upstream_standing_test.cc
+++ b/tests/policy/upstream_standing_test.cc
@@ -17,14 +17,14 @@
     record_.born_ms = 1000;
   }
 
-  upstream_standing Make() {
-    upstream_standing made(record_, region_id("north"), now_);
-    made.SetColdAllowance({2, 1});
-    return made;
+  upstream_standing MakeStanding() {
+    upstream_standing standing(record_, region_id("north"), now_);
+    standing.SetColdAllowance({2, 1});
+    return standing;
   }
 
-  // Plays one request with the given outcome.
-  void Play(upstream_standing& upstream, upstream_outcome outcome) {
+  // Sends one request that ends with the given outcome.
+  void CompleteRequest(upstream_standing& upstream, upstream_outcome outcome) {
     upstream.OnSent(now_);
     upstream.OnDone(outcome, now_);
   }
@@ -36,7 +36,7 @@
 BOOST_FIXTURE_TEST_SUITE(standing, standing_fixture)
 
 BOOST_AUTO_TEST_CASE(LoadOfOtherVmsExpires) {
-  upstream_standing upstream = Make();
+  upstream_standing upstream = MakeStanding();
   upstream.OnSent(now_);
   upstream.OnSent(now_);
   upstream.OnReport({3, 2, 4}, now_);
@@ -51,46 +51,47 @@
 // An upstream crashes. It must be avoided at once, longer with each failure,
 // and then take one request at a time.
 BOOST_AUTO_TEST_CASE(ConsecutiveConnectFailuresExtendTheBackoff) {
-  upstream_standing upstream = Make();
-  Play(upstream, upstream_outcome::kConnectFailedNotRun);
+  upstream_standing upstream = MakeStanding();
+  CompleteRequest(upstream, upstream_outcome::kConnectFailedNotRun);
   BOOST_TEST(upstream.IsInBackoff(now_ + milliseconds(399)));
   BOOST_TEST(!upstream.IsInBackoff(now_ + milliseconds(400)));
-  Play(upstream, upstream_outcome::kConnectFailedNotRun);
+  CompleteRequest(upstream, upstream_outcome::kConnectFailedNotRun);
   BOOST_TEST(upstream.IsInBackoff(now_ + milliseconds(799)));
   for (int i = 0; i < 20; ++i) {
-    Play(upstream, upstream_outcome::kConnectFailedNotRun);
+    CompleteRequest(upstream, upstream_outcome::kConnectFailedNotRun);
   }
   BOOST_TEST(!upstream.IsInBackoff(now_ + seconds(4)));
   BOOST_TEST(upstream.IsOnProbation());
-  Play(upstream, upstream_outcome::kAnswered);
+  CompleteRequest(upstream, upstream_outcome::kAnswered);
   BOOST_TEST(!upstream.IsOnProbation());
 }
 
 // An upstream passes its health checks but fails half of its requests. The
 // outcomes must eject it, and it must be tried again later.
-BOOST_AUTO_TEST_CASE(ManyFailedAnswersEjectIt) {
-  upstream_standing upstream = Make();
+BOOST_AUTO_TEST_CASE(ManyFailedAnswersEjectAnUpstream) {
+  upstream_standing upstream = MakeStanding();
   for (int i = 0; i < 20; ++i) {
-    Play(upstream, i % 2 == 0 ? upstream_outcome::kServerError
-                              : upstream_outcome::kAnswered);
+    CompleteRequest(upstream, i % 2 == 0 ? upstream_outcome::kServerError
+                                         : upstream_outcome::kAnswered);
   }
   BOOST_TEST(upstream.IsEjected(now_));
   BOOST_TEST(!upstream.IsEjected(now_ + seconds(3)));
 }
 
-BOOST_AUTO_TEST_CASE(FewFailedAnswersDoNotEjectIt) {
-  upstream_standing upstream = Make();
+BOOST_AUTO_TEST_CASE(FewFailedAnswersDoNotEjectAnUpstream) {
+  upstream_standing upstream = MakeStanding();
   for (int i = 0; i < 100; ++i) {
-    Play(upstream, i % 10 == 0 ? upstream_outcome::kServerError
-                               : upstream_outcome::kAnswered);
+    CompleteRequest(upstream, i % 10 == 0 ? upstream_outcome::kServerError
+                                          : upstream_outcome::kAnswered);
     BOOST_TEST(!upstream.IsEjected(now_));
   }
 }
 
 // A cancelled request says nothing about the upstream.
 BOOST_AUTO_TEST_CASE(CancelledRequestsAreNotFailures) {
-  upstream_standing upstream = Make();
-  for (int i = 0; i < 50; ++i) Play(upstream, upstream_outcome::kCancelled);
+  upstream_standing upstream = MakeStanding();
+  for (int i = 0; i < 50; ++i)
+    CompleteRequest(upstream, upstream_outcome::kCancelled);
   BOOST_TEST(upstream.FailureRate() == 0);
   BOOST_TEST(upstream.InFlight() == 0);
 }
@@ -99,7 +100,7 @@
 // than its allowance.
 BOOST_AUTO_TEST_CASE(AColdUpstreamGetsNoMoreThanItsAllowance) {
   record_.cold_left = seconds(3);
-  upstream_standing upstream = Make();
+  upstream_standing upstream = MakeStanding();
   upstream.OnCold(seconds(3), now_);
   int sent = 0;
   for (int ms = 0; ms < 3000; ms += 10) {
@@ -119,11 +120,11 @@
 // must suffice to rule a restart out. A VM that waited for a new entry would
 // treat a healthy upstream as cold forever.
 BOOST_AUTO_TEST_CASE(AConnectFailureMayMeanARestart) {
-  upstream_standing upstream = Make();
-  Play(upstream, upstream_outcome::kConnectFailedNotRun);
+  upstream_standing upstream = MakeStanding();
+  CompleteRequest(upstream, upstream_outcome::kConnectFailedNotRun);
   BOOST_TEST(upstream.IsCold(now_ + seconds(10)));
   now_ += seconds(5);
-  Play(upstream, upstream_outcome::kAnswered);
+  CompleteRequest(upstream, upstream_outcome::kAnswered);
   BOOST_TEST(upstream.IsCold(now_ + milliseconds(2499)));
   BOOST_TEST(!upstream.IsCold(now_ + milliseconds(2500)));
 }
@@ -131,16 +132,16 @@
 // A healthy upstream loses answers. Treating it as cold would leave most of its
 // slots unused.
 BOOST_AUTO_TEST_CASE(ALostAnswerIsNotARestart) {
-  upstream_standing upstream = Make();
-  Play(upstream, upstream_outcome::kConnectionLost);
+  upstream_standing upstream = MakeStanding();
+  CompleteRequest(upstream, upstream_outcome::kConnectionLost);
   BOOST_TEST(!upstream.IsCold(now_));
   BOOST_TEST(!upstream.IsInBackoff(now_));
 }
 
 BOOST_AUTO_TEST_CASE(ARestartResetsFailures) {
-  upstream_standing upstream = Make();
+  upstream_standing upstream = MakeStanding();
   for (int i = 0; i < 20; ++i) {
-    Play(upstream, upstream_outcome::kConnectFailedNotRun);
+    CompleteRequest(upstream, upstream_outcome::kConnectFailedNotRun);
   }
   record_.born_ms = 2000;
   record_.cold_left = seconds(3);
