--- a/include/citron/policy/service_split.h
+++ b/include/citron/policy/service_split.h
@@ -23,7 +23,7 @@
   struct service_share {
     service_weight service;
     double share = 0;
-    double deficit = 0;  // Requests due to the service but sent to others.
+    double deficit = 0;  // Requests due minus requests sent.
   };
 
   std::vector<service_share> shares_;
--- a/src/policy/service_split.cc
+++ b/src/policy/service_split.cc
@@ -31,9 +31,9 @@
 // until a service deviates too far.
 
 void service_split::SetServices(const std::vector<service_weight>& services) {
-  std::vector<service_weight> present;
-  for (const service_share& p : shares_) present.push_back(p.service);
-  if (SameServices(present, services)) return;
+  std::vector<service_weight> current;
+  for (const service_share& entry : shares_) current.push_back(entry.service);
+  if (SameServices(current, services)) return;
   shares_.clear();
   double sum = 0;
   for (const service_weight& s : services) sum += s.weight;
@@ -50,12 +50,12 @@
   double best_cost = 0;
   std::size_t most_underserved = 0;
   for (std::size_t i = 0; i < shares_.size(); ++i) {
-    service_share& p = shares_[i];
-    p.deficit += p.share;
-    if (p.deficit > shares_[most_underserved].deficit) most_underserved = i;
-    if (p.share <= 0) continue;
+    service_share& entry = shares_[i];
+    entry.deficit += entry.share;
+    if (entry.deficit > shares_[most_underserved].deficit) most_underserved = i;
+    if (entry.share <= 0) continue;
     const double cost =
-        RendezvousCost(object, MixHashes(kSplitSalt, i), p.share);
+        RendezvousCost(object, MixHashes(kSplitSalt, i), entry.share);
     if (best_cost != 0 && cost >= best_cost) continue;
     best_cost = cost;
     chosen = i;
--- a/tests/policy/warm_placement_test.cc
+++ b/tests/policy/warm_placement_test.cc
@@ -24,11 +24,11 @@
 warm_result Sum(const warm_plan& plan, const selector_options& options) {
   warm_result sum;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const warm_result one = warm_simulation(plan, options, seed).Run();
-    sum.in_goal += one.in_goal;
-    sum.late += one.late;
-    sum.rejected += one.rejected;
-    sum.cold_runs += one.cold_runs;
+    const warm_result run = warm_simulation(plan, options, seed).Run();
+    sum.in_goal += run.in_goal;
+    sum.late += run.late;
+    sum.rejected += run.rejected;
+    sum.cold_runs += run.cold_runs;
   }
   fmt::print("in goal {:.3f}, late {}, rejected {}, cold runs {}\n",
              sum.InGoalFraction(), sum.late, sum.rejected, sum.cold_runs);
@@ -56,8 +56,8 @@
   BOOST_TEST(without_control.InGoalFraction() < with_control.InGoalFraction());
 }
 
-// The VMs of two zones place an object at the same upstream. Otherwise each
-// object would be served cold twice at the start.
+// Guards against VMs of two zones that place an object at two upstreams, so
+// that each object is served cold twice at the start.
 BOOST_AUTO_TEST_CASE(ZonesOfARegionShareTheirObjects) {
   warm_plan plan = UnevenZones();
   for (warm_zone& zone : plan.zones) zone.requests_per_s = 15;
@@ -73,14 +73,14 @@
 BOOST_AUTO_TEST_CASE(UnderOverloadMostAnswersAreInTime) {
   warm_plan plan = UnevenZones();
   for (warm_zone& zone : plan.zones) zone.requests_per_s = 100;
-  const warm_result with_control = Sum(plan, selector_options{});
+  const warm_result with_goal = Sum(plan, selector_options{});
   plan.passes_latency_goal = false;
-  const warm_result without_control = Sum(plan, selector_options{});
-  BOOST_TEST(with_control.InGoalFraction() > without_control.InGoalFraction());
-  BOOST_TEST(with_control.late < with_control.in_goal);
+  const warm_result without_goal = Sum(plan, selector_options{});
+  BOOST_TEST(with_goal.InGoalFraction() > without_goal.InGoalFraction());
+  BOOST_TEST(with_goal.late < with_goal.in_goal);
 }
 
-// Under low load no object moves: each moved object is served cold once.
+// Under low load objects must not move: each moved object is served cold once.
 BOOST_AUTO_TEST_CASE(UnderLowLoadObjectsStay) {
   warm_plan plan = UnevenZones();
   for (warm_zone& zone : plan.zones) zone.requests_per_s = 15;
--- a/tests/policy/warm_simulation.h
+++ b/tests/policy/warm_simulation.h
@@ -36,12 +36,11 @@
   std::vector<warm_zone> zones;
   int slots = 4;
   int queue_limit = 12;  // Waiting requests at one upstream; more are rejected.
-  int warm_capacity = 26;             // Most recent objects of an upstream.
-  int objects = 42;                   // Objects of each region.
-  double cold_service_time_s = 0.64;  // Service time of a cold object.
+  int warm_capacity = 26;  // Objects that one upstream served most recently.
+  int objects = 42;        // Objects of each region.
+  double cold_service_time_s = 0.64;  // Mean.
   double warm_time_fraction = 0.3;
-  double service_time_spread =
-      0.15;  // Standard deviation of the service time, relative.
+  double service_time_spread = 0.15;  // Relative standard deviation.
   double latency_goal_s = 0.5;
   bool passes_latency_goal = true;  // Pass the goal to the selectors.
   double cross_region_delay_s = 0.035;
@@ -63,9 +62,9 @@
   }
 };
 
-// Upstreams that serve recently served objects faster, in zones of uneven size.
-// Each zone has one VM with its own selector. No network is simulated but a
-// fixed delay: VMs know of upstreams only what arrives with answers.
+// Simulates upstreams that serve recently served objects faster, in zones of
+// uneven size. Each zone has one VM with its own selector. The network is a
+// fixed delay, and VMs learn the load of upstreams only from answers.
 class warm_simulation {
  public:
   warm_simulation(warm_plan plan, const selector_options& options,
@@ -196,12 +195,12 @@
     }
     if (!is_warm) Count(r, result_.cold_runs);
     std::normal_distribution<double> jitter(1, plan_.service_time_spread);
-    const double service_time = plan_.cold_service_time_s *
-                                (is_warm ? plan_.warm_time_fraction : 1) *
-                                std::max(0.3, jitter(random_));
-    ScheduleAt(now_ + service_time, [this, &u, r] { OnWorkDone(u, r); });
+    const double service_time_s = plan_.cold_service_time_s *
+                                  (is_warm ? plan_.warm_time_fraction : 1) *
+                                  std::max(0.3, jitter(random_));
+    ScheduleAt(now_ + service_time_s, [this, &u, r] { OnServiceDone(u, r); });
   }
-  void OnWorkDone(upstream& u, const request& r) {
+  void OnServiceDone(upstream& u, const request& r) {
     --u.running;
     if (!u.waiting.empty()) {
       const request next = u.waiting.front();
@@ -215,9 +214,9 @@
       standing.OnReport(report, Now());
       standing.OnDone(upstream_outcome::kAnswered, Now());
       if (r.found_free_slot) {
-        const double service_time =
+        const double observed_service_time_s =
             now_ - r.arrived - 2 * NetworkDelay(vms_[r.vm], u);
-        vms_[r.vm].selector->OnServed(FromSeconds(service_time));
+        vms_[r.vm].selector->OnServed(FromSeconds(observed_service_time_s));
       }
       const bool in_goal = now_ - r.arrived <= plan_.latency_goal_s;
       Count(r, in_goal ? result_.in_goal : result_.late);
