--- a/include/citron/policy/affinity_selector.h
+++ b/include/citron/policy/affinity_selector.h
@@ -94,7 +94,9 @@
 
   // Records the service time of a request that found a free slot, without the
   // network delay in either direction.
-  void OnServed(duration service_time) { service_time_.OnServed(service_time); }
+  void OnServed(duration service_time) {
+    service_time_.AddSample(service_time);
+  }
 
   // Records the result of a connection attempt to an upstream in `zone`.
   void OnConnected(const zone_id& zone);
--- a/include/citron/policy/service_time_estimate.h
+++ b/include/citron/policy/service_time_estimate.h
@@ -9,7 +9,7 @@
 // would lie between the times of warm and cold objects and describe neither.
 class service_time_estimate {
  public:
-  void OnServed(duration service_time);
+  void AddSample(duration service_time);
   // Returns zero until enough requests were served.
   duration Median() const;
 
--- a/src/policy/service_time_estimate.cc
+++ b/src/policy/service_time_estimate.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void service_time_estimate::OnServed(duration service_time) {
+void service_time_estimate::AddSample(duration service_time) {
   const double service_time_s = ToSeconds(service_time);
   samples_ = std::min(samples_ + 1, kMinSamples);
   if (median_s_ == 0) {
--- a/tests/policy/service_time_estimate_test.cc
+++ b/tests/policy/service_time_estimate_test.cc
@@ -17,7 +17,7 @@
   std::bernoulli_distribution is_cold(cold_fraction);
   for (int i = 0; i < requests; ++i) {
     const double service_time_s = is_cold(random) ? kColdS : kWarmS;
-    estimate.OnServed(
+    estimate.AddSample(
         FromSeconds(service_time_s * std::max(0.3, jitter(random))));
   }
 }
@@ -31,7 +31,7 @@
 
 BOOST_AUTO_TEST_CASE(FewSamplesGiveNoEstimate) {
   service_time_estimate estimate;
-  for (int i = 0; i < 5; ++i) estimate.OnServed(FromSeconds(kWarmS));
+  for (int i = 0; i < 5; ++i) estimate.AddSample(FromSeconds(kWarmS));
   BOOST_TEST((estimate.Median() == duration::zero()));
 }
 
@@ -63,7 +63,7 @@
   pcg32 random(1);
   service_time_estimate estimate;
   Serve(estimate, 100, 0, random);
-  for (int i = 0; i < 3; ++i) estimate.OnServed(std::chrono::minutes(10));
+  for (int i = 0; i < 3; ++i) estimate.AddSample(std::chrono::minutes(10));
   BOOST_TEST(IsNear(estimate, kWarmS));
 }
 
