--- a/include/citron/policy/affinity_selector.h
+++ b/include/citron/policy/affinity_selector.h
@@ -28,11 +28,10 @@
   // run. In this VM's zone both weights apply.
   double large_answer_zone_weight = 64;
   double large_answer_region_weight = 8;
-  // Bounds of the load, in requests per slot, up to which the preferred
-  // upstream of an object takes its requests. The limit between them is the
-  // number of requests that a slot answers within the latency goal at the
-  // median service time. Upstreams queue three requests per slot and reject the
-  // rest.
+  // Bounds of the requests per slot up to which the preferred upstream of an
+  // object takes requests. The limit is the latency goal divided by the median
+  // service time, within these bounds, or `max_load_limit` if either is
+  // unknown. Upstreams queue three requests per slot and reject the rest.
   double min_load_limit = 2;
   double max_load_limit = 3.5;
   // Number of upstreams that share an object. Once the preferred one reaches
@@ -40,9 +39,10 @@
   // `spare_replica_load`.
   int replicas = 2;
   double spare_replica_load = 0.5;
-  // Consecutive connect timeouts to a zone's upstreams after which the zone
-  // counts as unreachable, and for how long.
+  // Connect timeouts to upstreams of a zone, without a connection in between,
+  // after which the zone counts as unreachable.
   int path_failure_limit = 2;
+  // Time for which an unreachable zone gets no requests.
   duration path_backoff = FromMilliseconds(1000);
   weight_control_options weights;
 };
@@ -60,8 +60,8 @@
 enum class selection_error {
   kNoneKnown,    // No upstream of the service is announced.
   kNotAllowed,   // No upstream is in a region where the request may run.
-  kUnavailable,  // Allowed upstreams all fail, are cold or were tried.
-  kBusy,         // The replicas for the object are full.
+  kUnavailable,  // No allowed upstream can take the request now.
+  kBusy,         // No replica of the object has room for the request.
 };
 
 std::string_view ToString(selection_error error);
@@ -75,8 +75,9 @@
   bool first_choice = true;
 };
 
-// Chooses the upstream for each request of one service. All VMs send an object
-// to the same few upstreams without communicating with each other.
+// Chooses the upstream for each request of one service. The VMs of a region
+// send an object to the same few upstreams without communicating with each
+// other; for large answers the VMs of a zone do.
 class affinity_selector {
  public:
   explicit affinity_selector(const selector_options& options);
@@ -92,8 +93,8 @@
   std::variant<selection, selection_error> Choose(
       const selection_request& request, monotonic_time now) const;
 
-  // Records the service time of a request that found a free slot, without the
-  // network delay in either direction.
+  // Records the service time of a request for which this VM counted a free slot
+  // at the upstream, without the network delay in either direction.
   void OnServed(duration service_time) {
     service_time_.AddSample(service_time);
   }
--- a/include/citron/policy/service_split.h
+++ b/include/citron/policy/service_split.h
@@ -12,7 +12,8 @@
 // weights.
 class service_split {
  public:
-  // Resets the deficits if the services or their weights change.
+  // Sets the services. A change of the list, its order or a weight discards the
+  // counts of earlier requests.
   void SetServices(const std::vector<service_weight>& services);
 
   // Returns the service for the next request. Requests of one object mostly get
--- a/include/citron/policy/upstream_standing.h
+++ b/include/citron/policy/upstream_standing.h
@@ -11,7 +11,8 @@
 
 namespace citron {
 
-// Load that an upstream reports with an answer.
+// Load that an upstream reports with an answer: its requests, without the
+// answered one, and its slots.
 struct load_report {
   int running = 0;
   int waiting = 0;
@@ -19,27 +20,28 @@
 };
 
 // Requests that this VM may send to a cold upstream. The allowances of all VMs
-// add up to the capacity of the upstream.
+// add up to what the upstream can take while it is cold.
 struct cold_allowance {
   double rate_per_s = 0;
-  double burst = 0;  // 0: this VM sends no requests while it is cold.
+  double burst = 0;  // Below 1: this VM sends none while the upstream is cold.
 };
 
 struct upstream_standing_options {
   // Validity of a load report.
   duration report_lifetime = FromMilliseconds(1500);
   // Time without requests after a connect failure; doubles with each further
-  // one.
+  // connect failure up to `max_backoff`.
   duration initial_backoff = FromMilliseconds(400);
   duration max_backoff = FromMilliseconds(4000);
-  // Failure rate that ejects an upstream, and the minimum number of outcomes
-  // before an ejection.
+  // Failure rate that ejects an upstream, the minimum number of outcomes before
+  // an ejection, and its duration. Each outcome but an answer without error
+  // counts as a failure; cancelled requests are not counted.
   double ejection_failure_rate = 0.35;
   int min_ejection_samples = 6;
   duration ejection_duration = FromMilliseconds(3000);
-  // Time after the first answer that follows a connect failure. By its end, a
-  // restarted upstream would have announced the restart and this VM would have
-  // read the announcement.
+  // After a connect failure the upstream counts as cold until this time after
+  // its next answer. By then, a restarted upstream would have announced the
+  // restart and this VM would have read the announcement.
   duration restart_report_delay = FromMilliseconds(2500);
 };
 
@@ -58,8 +60,8 @@
   const region_id& Region() const { return region_; }
   std::uint64_t Hash() const { return hash_; }
 
-  // Takes a new announcement. A restart of the upstream resets its failures and
-  // load.
+  // Takes a new announcement, which shows whether the upstream has restarted. A
+  // restart resets the failures, the load of other callers and the weight.
   void OnRecord(const upstream_record& record, monotonic_time now);
   void SetColdAllowance(const cold_allowance& allowance);
   // Treats the upstream as cold for at least `left`, whatever it announced.
@@ -77,8 +79,8 @@
   // Returns the fraction of its full weight that the upstream has in the
   // choice, by its reported load.
   double LoadWeight() const { return weight_.Weight(); }
-  // Returns whether connections failed since the last answer. The selector then
-  // sends one request at a time.
+  // Returns whether connections failed since the last answer, which may be a
+  // server error. The selector then sends one request at a time.
   bool IsOnProbation() const { return connect_failures_ > 0; }
   bool IsInBackoff(monotonic_time now) const { return now < backoff_until_; }
   bool IsEjected(monotonic_time now) const { return now < ejected_until_; }
@@ -113,7 +115,8 @@
 
   monotonic_time cold_until_{};
   bool may_have_restarted_ = false;
-  monotonic_time restart_ruled_out_at_{};  // When a restart is ruled out.
+  monotonic_time restart_ruled_out_at_{};  // Maximum until the first answer
+                                           // after a connect failure.
   cold_allowance allowance_;
   double cold_tokens_ = 0;
   monotonic_time cold_tokens_at_{};
--- a/include/citron/policy/weight_control.h
+++ b/include/citron/policy/weight_control.h
@@ -15,18 +15,18 @@
   // `max_report_weight`, so that the mean covers at least two reports.
   duration averaging_time = FromMilliseconds(1000);
   double max_report_weight = 0.5;
-  // Relative change of the weight per second. Decrease: at most a quarter of
-  // this fraction of a region's requests moves to other regions per second, a
-  // tenth of the requests in two seconds. Increase: the load jumps where an
-  // upstream holds more objects than it keeps warm, so that the weight returns
-  // slowly.
+  // Exponential rates of the change of the weight. Decrease: at most a quarter
+  // of this fraction of the requests of a region moves to other regions per
+  // second, so that at most a tenth moves in two seconds. Increase: slow, since
+  // the load rises suddenly at an upstream that gets more objects than it keeps
+  // warm.
   double decrease_per_s = 0.2;
   double increase_per_s = 0.02;
   // An upstream that stays overloaded keeps some objects; otherwise no report
   // would show its recovery.
   double min_weight = 0.1;
-  // Longest time between two reports that a single change of the weight
-  // accounts for.
+  // Upper bound of the time step of a weight change, however long ago the
+  // previous report arrived.
   duration max_step = FromMilliseconds(1000);
 };
 
--- a/src/policy/affinity_selector.cc
+++ b/src/policy/affinity_selector.cc
@@ -26,10 +26,6 @@
 
 }  // namespace
 
-// Load pattern: more work than the upstreams can serve cold. All VMs compute
-// the same rendezvous order, so that each object stays at an upstream that is
-// warm for it.
-
 std::string_view ToString(selection_error error) {
   switch (error) {
     case selection_error::kNoneKnown:
@@ -120,8 +116,9 @@
 }
 
 // Reduces `candidates` to the replicas that share the object, the preferred one
-// first. All are in the region of the preferred one, so that a flood does not
-// move the requests of a region to other regions within seconds.
+// first. All are in the region of the preferred one, so that an overload does
+// not move the requests of a region to other regions from one second to the
+// next.
 void affinity_selector::KeepPreferredReplicas(
     std::vector<candidate>& candidates) const {
   std::sort(
@@ -162,6 +159,9 @@
                     options_.min_load_limit, options_.max_load_limit);
 }
 
+// Load pattern: more work than the upstreams can serve cold. The VMs of a
+// region compute nearly the same rendezvous order, so that each object stays at
+// an upstream that is warm for it.
 std::variant<selection, selection_error> affinity_selector::Choose(
     const selection_request& request, monotonic_time now) const {
   if (upstreams_.empty()) return selection_error::kNoneKnown;
--- a/src/policy/service_split.cc
+++ b/src/policy/service_split.cc
@@ -9,9 +9,11 @@
 namespace {
 
 // Requests by which a service may deviate from its share before objects move.
-// Each VM deviates by at most this number, so that with ten VMs and 300
-// requests the services stay within a tenth of their weights.
+// With two services, each VM deviates by at most this number, so that ten VMs
+// deviate by at most a tenth of 300 requests.
 constexpr double kMaxDeficit = 2.0;
+// Seeds the hashes of the services. All VMs use the same seed and thus prefer
+// the same service for an object.
 constexpr std::uint64_t kSplitSalt = 0x5b1d0f3a92c4e687ULL;
 
 bool SameServices(const std::vector<service_weight>& a,
@@ -24,15 +26,10 @@
 
 }  // namespace
 
-// Load pattern: few objects with most of the requests. A division by object
-// hash alone keeps upstreams warm, but a hot object puts its whole load on one
-// service and misses the weights of the operator. Round robin keeps the weights
-// but leaves every object cold at every service. So the object hash decides
-// until a service deviates too far.
-
 void service_split::SetServices(const std::vector<service_weight>& services) {
   std::vector<service_weight> current;
-  for (const service_share& entry : shares_) current.push_back(entry.service);
+  for (const service_share& existing : shares_)
+    current.push_back(existing.service);
   if (SameServices(current, services)) return;
   shares_.clear();
   double sum = 0;
@@ -44,18 +41,24 @@
   }
 }
 
+// Load pattern: few objects with most of the requests. By object hash alone, a
+// hot object puts its whole load on one service, and the configured weights are
+// missed. Round robin keeps the weights but leaves every object cold at every
+// service. So the hash decides until a service deviates by more than
+// `kMaxDeficit`.
 const service_id& service_split::Choose(std::uint64_t object) {
   if (shares_.size() == 1) return shares_.front().service.service;
   std::size_t chosen = 0;
   double best_cost = 0;
   std::size_t most_underserved = 0;
   for (std::size_t i = 0; i < shares_.size(); ++i) {
-    service_share& entry = shares_[i];
-    entry.deficit += entry.share;
-    if (entry.deficit > shares_[most_underserved].deficit) most_underserved = i;
-    if (entry.share <= 0) continue;
+    service_share& candidate = shares_[i];
+    candidate.deficit += candidate.share;
+    if (candidate.deficit > shares_[most_underserved].deficit)
+      most_underserved = i;
+    if (candidate.share <= 0) continue;
     const double cost =
-        RendezvousCost(object, MixHashes(kSplitSalt, i), entry.share);
+        RendezvousCost(object, MixHashes(kSplitSalt, i), candidate.share);
     if (best_cost != 0 && cost >= best_cost) continue;
     best_cost = cost;
     chosen = i;
--- a/src/policy/service_time_estimate.cc
+++ b/src/policy/service_time_estimate.cc
@@ -6,9 +6,10 @@
 
 namespace {
 
+// Samples before Median() returns an estimate.
 constexpr int kMinSamples = 20;
-// Relative step by which each sample moves the median. The first samples use
-// `kInitialStep` divided by their number, a larger step.
+// Sample n moves the median by the fraction `kStep` or `kInitialStep` / n of
+// its value, whichever is larger; the first sample sets the median.
 constexpr double kStep = 0.03;
 constexpr double kInitialStep = 0.5;
 
--- a/src/policy/upstream_standing.cc
+++ b/src/policy/upstream_standing.cc
@@ -12,7 +12,7 @@
 // outcomes.
 constexpr double kOutcomeWeight = 0.12;
 
-bool IsAnswer(upstream_outcome outcome) {
+bool IsSuccess(upstream_outcome outcome) {
   return outcome == upstream_outcome::kAnswered;
 }
 
@@ -99,7 +99,7 @@
 void upstream_standing::OnDone(upstream_outcome outcome, monotonic_time now) {
   --in_flight_;
   if (outcome == upstream_outcome::kCancelled) return;
-  const bool failed = !IsAnswer(outcome);
+  const bool failed = !IsSuccess(outcome);
   failure_rate_ += kOutcomeWeight * ((failed ? 1.0 : 0.0) - failure_rate_);
   ++samples_;
   if (failure_rate_ > options_.ejection_failure_rate &&
@@ -126,8 +126,9 @@
       }
       break;
     default:
-      // A single lost answer says little: the next connection attempt shows
-      // whether the upstream is reachable.
+      // These outcomes count only in the failure rate. A single lost answer
+      // says little: the next connection attempt shows whether the upstream is
+      // reachable.
       break;
   }
 }
--- a/src/policy/weight_control.cc
+++ b/src/policy/weight_control.cc
@@ -7,8 +7,8 @@
 
 // Load pattern: uneven or closed zones, so that some upstreams get more objects
 // than they keep warm. A lower weight moves a stable share of their objects to
-// other upstreams. VMs receive the same reports and reach nearly the same
-// weights.
+// other upstreams. VMs receive similar reports, with answers and from each
+// other, and reach nearly the same weights.
 
 weight_control::weight_control(const weight_control_options& options)
     : options_(options) {}
--- a/tests/policy/affinity_selector_test.cc
+++ b/tests/policy/affinity_selector_test.cc
@@ -71,9 +71,10 @@
 
 BOOST_FIXTURE_TEST_SUITE(choice, selector_fixture)
 
-// VMs choose upstreams without communicating. If they chose differently, each
-// upstream would receive every object and stay cold.
-BOOST_AUTO_TEST_CASE(AllVmsChooseTheSameUpstreamForAnObject) {
+// VMs choose upstreams without communicating and learn of the upstreams in any
+// order. If they chose differently, each upstream would receive every object
+// and stay cold.
+BOOST_AUTO_TEST_CASE(TheOrderOfAnnouncementsDoesNotChangeTheChoice) {
   affinity_selector other(Options());
   for (int i = kUpstreams - 1; i >= 0; --i) AddUpstream(other, i);
   for (int object = 0; object < 200; ++object) {
--- a/tests/policy/upstream_standing_test.cc
+++ b/tests/policy/upstream_standing_test.cc
@@ -115,10 +115,11 @@
   BOOST_TEST(!upstream.IsCold(now_ + seconds(3)));
 }
 
-// After a connect failure the upstream may have restarted and be cold. Its
-// entry changes only if it has, so that an answer and the delay of a new entry
-// must suffice to rule a restart out. A VM that waited for a new entry would
-// treat a healthy upstream as cold forever.
+// After a connect failure the upstream may have restarted and be cold. The
+// entry of the upstream changes only after a restart, so that an answer
+// followed by `restart_report_delay` without a new entry must rule out the
+// restart. A VM that waited for a new entry would treat a healthy upstream as
+// cold forever.
 BOOST_AUTO_TEST_CASE(AConnectFailureMayMeanARestart) {
   upstream_standing upstream = MakeStanding();
   CompleteRequest(upstream, upstream_outcome::kConnectFailedNotRun);
--- a/tests/policy/warm_placement_test.cc
+++ b/tests/policy/warm_placement_test.cc
@@ -43,10 +43,11 @@
 
 BOOST_AUTO_TEST_SUITE(warm_placement)
 
-// The other zone of a region is closed, and the callers of both zones prefer
-// the one remaining upstream. It cannot serve them even with every object warm,
-// so that callers wait although a third of all slots are free. As all requests
-// fit the total capacity, nineteen of twenty must be in time.
+// One zone of a region is closed, and the callers of both zones weigh the one
+// remaining upstream of the region higher than remote ones. It cannot serve the
+// requests that prefer it even with every object warm, so that callers wait
+// although a third of all slots are free. As all requests fit the total
+// capacity, nineteen of twenty must be in time.
 BOOST_AUTO_TEST_CASE(ObjectsOfAClosedZoneMoveToUpstreamsWithCapacity) {
   warm_plan plan = UnevenZones();
   plan.closed_zone = "r0a";
@@ -67,9 +68,9 @@
   BOOST_TEST(start.cold_runs <= static_cast<int>(kSeeds) * objects * 1.05);
 }
 
-// More requests arrive than all upstreams can serve. With queues as long as
-// upstreams allow, nearly all answers are late; with queues that fit the
-// latency goal, the capacity goes to requests that are in time.
+// More requests arrive than all upstreams can serve. With queues as long as the
+// selector allows, most answers are late; with queues that fit the latency
+// goal, the capacity goes to requests that are in time.
 BOOST_AUTO_TEST_CASE(UnderOverloadMostAnswersAreInTime) {
   warm_plan plan = UnevenZones();
   for (warm_zone& zone : plan.zones) zone.requests_per_s = 100;
--- a/tests/policy/warm_simulation.h
+++ b/tests/policy/warm_simulation.h
@@ -38,15 +38,15 @@
   int queue_limit = 12;  // Waiting requests at one upstream; more are rejected.
   int warm_capacity = 26;  // Objects that one upstream served most recently.
   int objects = 42;        // Objects of each region.
-  double cold_service_time_s = 0.64;  // Mean.
-  double warm_time_fraction = 0.3;
+  double cold_service_time_s = 0.64;  // Mean for a cold object.
+  double warm_time_fraction = 0.3;    // Of the cold service time.
   double service_time_spread = 0.15;  // Relative standard deviation.
   double latency_goal_s = 0.5;
-  bool passes_latency_goal = true;  // Pass the goal to the selectors.
-  double cross_region_delay_s = 0.035;
+  bool passes_latency_goal = true;      // Pass the goal to the selectors.
+  double cross_region_delay_s = 0.035;  // One way.
   double seconds = 40;
-  double count_from_s = 20;
-  std::string closed_zone;  // Closed from closed_at_s on; empty: none.
+  double count_from_s = 20;  // Earlier requests are not counted.
+  std::string closed_zone;   // Closed from closed_at_s on; empty: none.
   double closed_at_s = 10;
 };
 
@@ -64,7 +64,8 @@
 
 // Simulates upstreams that serve recently served objects faster, in zones of
 // uneven size. Each zone has one VM with its own selector. The network is a
-// fixed delay, and VMs learn the load of upstreams only from answers.
+// fixed delay within a region and another between regions. VMs learn the load
+// of upstreams only from answers.
 class warm_simulation {
  public:
   warm_simulation(warm_plan plan, const selector_options& options,
@@ -91,6 +92,7 @@
     double at = 0;
     std::uint64_t sequence = 0;
     std::function<void()> run;
+    // Reversed, so that the priority queue returns the earliest event first.
     bool operator<(const event& other) const {
       return std::tie(at, sequence) > std::tie(other.at, other.sequence);
     }
@@ -99,7 +101,7 @@
     std::size_t vm = 0;
     std::uint64_t object = 0;
     double arrived = 0;
-    bool found_free_slot = false;
+    bool expected_free_slot = false;
   };
   struct upstream {
     upstream_record record;
@@ -163,7 +165,7 @@
     const auto chosen = v.selector->Choose(choice_request, Now());
     const auto* selected = std::get_if<selection>(&chosen);
     if (selected == nullptr) return Count(r, result_.rejected);
-    r.found_free_slot = selected->load < selected->slots;
+    r.expected_free_slot = selected->load < selected->slots;
     upstream& u = upstreams_.at(selected->upstream);
     v.selector->Find(u.record.id)->OnSent(Now());
     ScheduleAt(now_ + NetworkDelay(v, u),
@@ -213,7 +215,7 @@
       upstream_standing& standing = Find(u, r);
       standing.OnReport(report, Now());
       standing.OnDone(upstream_outcome::kAnswered, Now());
-      if (r.found_free_slot) {
+      if (r.expected_free_slot) {
         const double observed_service_time_s =
             now_ - r.arrived - 2 * NetworkDelay(vms_[r.vm], u);
         vms_[r.vm].selector->OnServed(FromSeconds(observed_service_time_s));
