--- a/include/citron/policy/upstream_standing.h
+++ b/include/citron/policy/upstream_standing.h
@@ -115,8 +115,8 @@
 
   monotonic_time cold_until_{};
   bool may_have_restarted_ = false;
-  monotonic_time restart_ruled_out_at_{};  // Maximum until the first answer
-                                           // after a connect failure.
+  // monotonic_time::max() until the first answer after a connect failure.
+  monotonic_time restart_ruled_out_at_{};
   cold_allowance allowance_;
   double cold_tokens_ = 0;
   monotonic_time cold_tokens_at_{};
--- a/src/policy/service_split.cc
+++ b/src/policy/service_split.cc
@@ -28,8 +28,7 @@
 
 void service_split::SetServices(const std::vector<service_weight>& services) {
   std::vector<service_weight> current;
-  for (const service_share& existing : shares_)
-    current.push_back(existing.service);
+  for (const service_share& s : shares_) current.push_back(s.service);
   if (SameServices(current, services)) return;
   shares_.clear();
   double sum = 0;
@@ -52,13 +51,12 @@
   double best_cost = 0;
   std::size_t most_underserved = 0;
   for (std::size_t i = 0; i < shares_.size(); ++i) {
-    service_share& candidate = shares_[i];
-    candidate.deficit += candidate.share;
-    if (candidate.deficit > shares_[most_underserved].deficit)
-      most_underserved = i;
-    if (candidate.share <= 0) continue;
+    service_share& s = shares_[i];
+    s.deficit += s.share;
+    if (s.deficit > shares_[most_underserved].deficit) most_underserved = i;
+    if (s.share <= 0) continue;
     const double cost =
-        RendezvousCost(object, MixHashes(kSplitSalt, i), candidate.share);
+        RendezvousCost(object, MixHashes(kSplitSalt, i), s.share);
     if (best_cost != 0 && cost >= best_cost) continue;
     best_cost = cost;
     chosen = i;
