--- a/include/citron/policy/overflow_control.h
+++ b/include/citron/policy/overflow_control.h
@@ -5,22 +5,24 @@
 
 namespace citron {
 
-// How much of a service's traffic an entry sends past its own zone.
+// Controls the fraction of a service's traffic that an entry sends to zones
+// other than the local zone.
 class overflow_control {
  public:
-  // The own zone's owner reports its expected wait.
+  // Adjusts the moved fraction by the expected wait that the local zone's owner
+  // reported.
   void OnReport(duration expected_wait);
-  // The own zone's owner refused a request as not run.
+  // Records that the local zone's owner refused a request without running it.
   void OnRefused();
 
-  // True for the part of the calls that go elsewhere, evenly spread.
-  bool TakesMove();
-  double Part() const { return part_; }
+  // Returns true for the moved fraction of the calls, evenly spread.
+  bool ShouldMoveNext();
+  double MovedFraction() const { return moved_fraction_; }
 
  private:
-  void Raise(double step);
+  void Adjust(double step);
 
-  double part_ = 0;
+  double moved_fraction_ = 0;
   double credit_ = 0;
 };
 
--- a/include/citron/policy/placement.h
+++ b/include/citron/policy/placement.h
@@ -20,7 +20,7 @@
 
 namespace citron {
 
-// What a zone's owner of a service said last.
+// The last report about a service from the owner of the service in one zone.
 struct zone_report {
   zone_id zone;
   region_id region;
@@ -32,7 +32,8 @@
   duration mean_service_time{};
   monotonic_time received_at;
   bool leaving = false;
-  // How long it says something; placement_options::report_lifetime if longer.
+  // How long the report is valid; placement_options::report_lifetime applies if
+  // that is longer.
   duration lifetime{};
 
   friend bool operator==(const zone_report&, const zone_report&) = default;
@@ -41,18 +42,18 @@
 struct shift {
   region_id from;
   region_id to;
-  double fraction = 1;  // Part of the traffic to move, 0 to 1.
+  double fraction = 1;  // Fraction of the traffic to move, 0 to 1.
 };
 
 struct placement_options {
-  zone_id zone;      // Own.
-  region_id region;  // Own.
-  // One way.
+  zone_id zone;      // Local zone.
+  region_id region;  // Local region.
+  // One-way network delays.
   duration zone_latency = std::chrono::microseconds(500);
   duration region_latency = std::chrono::milliseconds(35);
-  // After this long a report says nothing any more.
+  // Age at which a report expires.
   duration report_lifetime = std::chrono::seconds(3);
-  double link_bytes_per_s = 300e6 / 8;  // To each other region.
+  double link_bytes_per_s = 300e6 / 8;  // To each remote region.
   duration link_burst = std::chrono::milliseconds(200);
 };
 
@@ -61,7 +62,7 @@
   std::string request_class;
   monotonic_time deadline;
   std::uint64_t expected_response_bytes = 0;
-  std::vector<zone_id> excluded;  // Tried already.
+  std::vector<zone_id> excluded;  // Zones that were already tried.
 };
 
 struct passed_over {
@@ -78,7 +79,8 @@
 
 using place_result = std::variant<place_choice, refusal>;
 
-// How many crossings an entry could have used lately; what to ask of the
+// The number of cross-region requests that an entry could have sent since the
+// last call of TakeWants. The entry requests this many permits from the
 // receiving region's shift_ramp.
 struct permit_want {
   service_id service;
@@ -86,7 +88,7 @@
   int count = 0;
 };
 
-// An entry's choice of zone and region for a request.
+// Chooses the zone and region of each request at an entry.
 class placement {
  public:
   placement(placement_options options, std::uint64_t seed);
@@ -95,38 +97,42 @@
   void Forget(const zone_id& zone, const service_id& service);
   void SetShift(const service_id& service, std::optional<shift> s);
   void SetRegionDrained(const region_id& region, bool drained);
-  // This process's part of the link to each other region, 0 to 1.
+  // Sets this process's share of the link to each remote region, 0 to 1.
   void SetLinkShare(double fraction, monotonic_time now);
 
-  // Permits from a receiving region's shift_ramp. Without them nothing crosses.
+  // Records permits granted by a remote region's shift_ramp. Without permits no
+  // request is sent to that region.
   void OnPermits(const service_id& service, const region_id& region, int count,
                  monotonic_time expires_at);
-  // Wants since the last call, so that the driver can ask for permits.
+  // Returns the demand for permits since the last call and clears it, so that
+  // the caller can request permits.
   std::vector<permit_want> TakeWants();
 
-  // A choice in another region takes a permit and link bytes at once.
+  // Chooses a zone. Choosing a zone in a remote region consumes a permit and
+  // link bytes at once.
   place_result Choose(const place_request& request, monotonic_time now);
 
   void OnSent(const service_id& service, const zone_id& zone,
               monotonic_time now);
   void OnDone(const service_id& service, const zone_id& zone,
               monotonic_time now);
-  // The zone refused it as not run.
+  // Records that the zone refused a request without running it.
   void OnRefused(const service_id& service, const zone_id& zone,
                  monotonic_time now);
-  // The true size of an answer that crossed from another region.
+  // Corrects the link budget to the actual size of a response from a remote
+  // region.
   void OnCrossed(const region_id& region, std::uint64_t expected_bytes,
                  std::uint64_t used_bytes, monotonic_time now);
 
  private:
   struct zone_state {
     zone_report report;
-    double busy = 0;       // Slots' worth of work, smoothed over reports.
-    int in_flight = 0;     // Sent from here, not done.
-    int since_report = 0;  // Sent less done since the report.
+    double smoothed_load = 0;  // Requests at the zone, smoothed over reports.
+    int in_flight = 0;         // Sent from this entry and not done.
+    int net_sent_since_report = 0;  // Sent minus done since the report.
     monotonic_time avoid_until;
   };
-  struct permits {
+  struct permit_grant {
     int count = 0;
     monotonic_time expires_at;
   };
@@ -140,36 +146,35 @@
   using service_region = std::pair<service_id, region_id>;
   using candidates = std::vector<candidate>;
 
-  bool IsUnknown(const zone_state& z, monotonic_time now) const;
-  bool IsOwnRegion(const zone_state& z) const;
-  duration Latency(const zone_report& report) const;
-  duration Wait(const zone_state& z) const;
+  bool IsReportExpired(const zone_state& z, monotonic_time now) const;
+  bool IsLocalRegion(const zone_state& z) const;
+  duration RoundTripTime(const zone_report& report) const;
+  duration ExpectedWait(const zone_state& z) const;
   candidate Estimate(const zone_state& z) const;
-  // Why the zone can't be chosen at all; empty if it can.
-  std::string Unfit(const zone_state& z, const place_request& request,
-                    monotonic_time now) const;
+  // Returns why the zone cannot be chosen, or an empty string if it can.
+  std::string IneligibleReason(const zone_state& z,
+                               const place_request& request,
+                               monotonic_time now) const;
 
-  bool OwnZoneServes(const service_zones& zones,
-                     const place_request& request) const;
+  bool LocalZoneServes(const service_zones& zones,
+                       const place_request& request) const;
   std::optional<candidate> ChooseInRegion(const service_zones& zones,
                                           const place_request& request,
                                           monotonic_time now,
                                           place_choice& choice);
-  std::optional<candidate> ChooseAbroad(const service_zones& zones,
-                                        const place_request& request,
-                                        const region_id& only,
-                                        monotonic_time now,
-                                        place_choice& choice,
-                                        std::optional<refusal>& blocked);
+  std::optional<candidate> ChooseInRemoteRegion(
+      const service_zones& zones, const place_request& request,
+      const region_id& only, monotonic_time now, place_choice& choice,
+      std::optional<refusal>& earliest_refusal);
   std::optional<candidate> ChooseWithoutFreeSlots(const service_zones& zones,
                                                   const place_request& request,
                                                   monotonic_time now);
-  const candidate& RoomierOfTwo(const candidates& from);
-  bool TakesShift(const service_id& service);
+  const candidate& ChooseOfTwo(const candidates& from);
+  bool ShouldShift(const service_id& service);
 
-  std::optional<refusal> TakeCrossing(const place_request& request,
-                                      const region_id& region,
-                                      monotonic_time now);
+  std::optional<refusal> ReserveCrossRegion(const place_request& request,
+                                            const region_id& region,
+                                            monotonic_time now);
   link_budget& Link(const region_id& region);
   monotonic_time RetryAt(monotonic_time now);
 
@@ -183,7 +188,7 @@
   std::map<region_id, link_budget> links_;
   double link_share_ = 0;
   monotonic_time link_share_at_;
-  std::map<service_region, permits> permits_;
+  std::map<service_region, permit_grant> permits_;
   std::map<service_region, int> wants_;
 };
 
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -9,26 +9,29 @@
 namespace citron {
 namespace {
 
-// Answers: a zone that has more work than it can end in time while another one
-// has slots free, and the herd that forms when all entries hear of it at once.
+// Load: a zone has more work than it can finish in time while another zone has
+// free slots. If all entries react to the same report at once, they all send to
+// the same zone and overload it.
 //
-// The own zone serves: going elsewhere costs time and link, and caches are warm
-// at home. Only the part that overflow_control gives goes to other zones of the
-// region, and if none of them has room, to other regions. A report is up to a
-// second old and every entry has acted on it; so each one counts what it sent
-// since, goes by loads smoothed over reports, and takes the roomier of two
-// zones picked at random instead of the roomiest of all, which would be
-// everybody's. The owner at the far side has the last word.
-
-// A zone that refused is full or behind; its next report is about this far
-// away. It goes behind the others meanwhile, but isn't shut: it refused one
-// workspace's request, and another one's may still be in its fair part.
+// The local zone is preferred: other zones cost network delay and link bytes,
+// and the local caches are warm. Only the fraction that overflow_control
+// returns goes to other zones of the region, and to remote regions if none of
+// these zones has a free slot. A report is up to a second old and every entry
+// has acted on it. Each entry therefore counts what it sent since the report,
+// uses loads smoothed over reports, and takes the zone with more free slots out
+// of two random zones; the zone with most free slots of all would be the choice
+// of every entry. The owner in the chosen zone makes the final decision.
+
+// A zone that refused a request is full or late, and its next report is about
+// this far away. Until then the zone ranks behind the others but stays
+// available: it refused a request of one workspace, and a request of another
+// workspace may still be within its fair share.
 constexpr duration kAvoidAfterRefusal = std::chrono::milliseconds(200);
 
-// Of the newest report; the last three or so count.
-constexpr double kSmoothing = 0.4;
+// Weight of the newest report; about the last three reports count.
+constexpr double kLoadSmoothing = 0.4;
 
-constexpr duration kRetry = std::chrono::milliseconds(200);
+constexpr duration kRetryDelay = std::chrono::milliseconds(200);
 
 bool Contains(const std::vector<zone_id>& zones, const zone_id& zone) {
   return std::find(zones.begin(), zones.end(), zone) != zones.end();
@@ -43,16 +46,17 @@
   const auto [at, added] =
       zones_[report.service].try_emplace(report.zone, zone_state());
   zone_state& z = at->second;
-  // Reports of other zones are shown again until there is a new one. Taken for
-  // new, it would wipe out what was sent there since, and each entry would go
-  // on filling the slots that were free seconds ago; one would notice by
-  // refusals there. The own zone's are new with each view of the own VM.
+  // Reports of other zones are passed in again until a new one arrives.
+  // Counting a repeat as new would discard what was sent to the zone since, so
+  // each entry would keep filling slots that were free seconds ago and the zone
+  // would refuse requests. The local zone's report is new with each view of
+  // this VM.
   const bool is_repeat =
       !added && report.zone != options_.zone && report == z.report;
-  const double busy = report.in_flight + report.queued;
-  z.busy += (added ? 1 : kSmoothing) * (busy - z.busy);
+  const double load = report.in_flight + report.queued;
+  z.smoothed_load += (added ? 1 : kLoadSmoothing) * (load - z.smoothed_load);
   z.report = report;
-  if (!is_repeat) z.since_report = 0;
+  if (!is_repeat) z.net_sent_since_report = 0;
   if (report.zone == options_.zone) {
     overflow_[report.service].OnReport(report.expected_wait);
   }
@@ -97,8 +101,9 @@
 
 void placement::OnPermits(const service_id& service, const region_id& region,
                           int count, monotonic_time expires_at) {
-  // A new grant replaces what is left of the last one: the receiving region
-  // counts both, so nothing is used twice, and expired ones can't add up.
+  // A new grant replaces the rest of the previous one. The receiving region
+  // counts both, so no permit is used twice, and expired permits do not
+  // accumulate.
   if (count <= 0) return;
   permits_[{service, region}] = {count, expires_at};
 }
@@ -119,7 +124,7 @@
   const auto z = found->second.find(zone);
   if (z == found->second.end()) return;
   ++z->second.in_flight;
-  ++z->second.since_report;
+  ++z->second.net_sent_since_report;
 }
 
 void placement::OnDone(const service_id& service, const zone_id& zone,
@@ -129,7 +134,7 @@
   const auto z = found->second.find(zone);
   if (z == found->second.end()) return;
   z->second.in_flight = std::max(0, z->second.in_flight - 1);
-  --z->second.since_report;
+  --z->second.net_sent_since_report;
 }
 
 void placement::OnRefused(const service_id& service, const zone_id& zone,
@@ -148,50 +153,54 @@
   Link(region).Settle(expected_bytes, used_bytes, now);
 }
 
-bool placement::IsUnknown(const zone_state& z, monotonic_time now) const {
+bool placement::IsReportExpired(const zone_state& z, monotonic_time now) const {
   return now - z.report.received_at >
          std::max(options_.report_lifetime, z.report.lifetime);
 }
 
-bool placement::IsOwnRegion(const zone_state& z) const {
+bool placement::IsLocalRegion(const zone_state& z) const {
   return z.report.region == options_.region;
 }
 
-duration placement::Latency(const zone_report& report) const {
+duration placement::RoundTripTime(const zone_report& report) const {
   if (report.zone == options_.zone) return {};
-  const bool near = report.region == options_.region;
-  return 2 * (near ? options_.zone_latency : options_.region_latency);
+  const bool same_region = report.region == options_.region;
+  return 2 * (same_region ? options_.zone_latency : options_.region_latency);
 }
 
-// The report's wait, and what was sent from here since.
-duration placement::Wait(const zone_state& z) const {
+// Returns the reported wait plus the wait for requests sent from this entry
+// since the report.
+duration placement::ExpectedWait(const zone_state& z) const {
   const zone_report& r = z.report;
   const int slots = std::max(1, r.slots);
-  const int sent = std::max(0, z.since_report);
+  const int sent = std::max(0, z.net_sent_since_report);
   const int free = std::max(0, r.slots - r.in_flight - r.queued);
-  const int behind = std::max(0, sent - free);
-  return r.expected_wait + r.mean_service_time * behind / slots;
+  const int waiting = std::max(0, sent - free);
+  return r.expected_wait + r.mean_service_time * waiting / slots;
 }
 
 placement::candidate placement::Estimate(const zone_state& z) const {
-  const double free = z.report.slots - z.busy - std::max(0, z.since_report);
-  return {z.report.zone, z.report.region, free,
-          Latency(z.report) + Wait(z) + z.report.mean_service_time};
+  const double free =
+      z.report.slots - z.smoothed_load - std::max(0, z.net_sent_since_report);
+  return {
+      z.report.zone, z.report.region, free,
+      RoundTripTime(z.report) + ExpectedWait(z) + z.report.mean_service_time};
 }
 
-std::string placement::Unfit(const zone_state& z, const place_request& request,
-                             monotonic_time now) const {
-  if (Contains(request.excluded, z.report.zone)) return "tried already";
+std::string placement::IneligibleReason(const zone_state& z,
+                                        const place_request& request,
+                                        monotonic_time now) const {
+  if (Contains(request.excluded, z.report.zone)) return "already tried";
   if (z.report.leaving) return "leaving";
-  if (IsUnknown(z, now)) return "no recent report";
+  if (IsReportExpired(z, now)) return "no recent report";
   if (z.report.slots <= 0) return "no slots";
-  if (now < z.avoid_until) return "refused just now";
+  if (now < z.avoid_until) return "refused recently";
   const candidate c = Estimate(z);
   if (now + c.completion > request.deadline) return "would miss the deadline";
   return "";
 }
 
-const placement::candidate& placement::RoomierOfTwo(const candidates& from) {
+const placement::candidate& placement::ChooseOfTwo(const candidates& from) {
   const auto count = static_cast<std::uint32_t>(from.size());
   if (count == 1) return from.front();
   const std::uint32_t first = random_(count);
@@ -200,15 +209,15 @@
                                                            : from[second];
 }
 
-bool placement::OwnZoneServes(const service_zones& zones,
-                              const place_request& request) const {
-  const auto own = zones.find(options_.zone);
-  if (own == zones.end() || Contains(request.excluded, own->first)) {
+bool placement::LocalZoneServes(const service_zones& zones,
+                                const place_request& request) const {
+  const auto local = zones.find(options_.zone);
+  if (local == zones.end() || Contains(request.excluded, local->first)) {
     return false;
   }
-  // Without recent reports it is asked all the same: a lone zone still has to
-  // serve itself.
-  return !own->second.report.leaving && own->second.report.slots > 0;
+  // The local zone is used even without recent reports: an isolated zone still
+  // has to serve its own callers.
+  return !local->second.report.leaving && local->second.report.slots > 0;
 }
 
 std::optional<placement::candidate> placement::ChooseInRegion(
@@ -216,55 +225,58 @@
     monotonic_time now, place_choice& choice) {
   candidates others;
   for (const auto& [id, z] : zones) {
-    if (!IsOwnRegion(z) || id == options_.zone) continue;
-    std::string unfit = Unfit(z, request, now);
+    if (!IsLocalRegion(z) || id == options_.zone) continue;
+    std::string ineligible = IneligibleReason(z, request, now);
     candidate c = Estimate(z);
-    if (unfit.empty() && c.free_slots <= 0) unfit = "no slot free";
-    if (unfit.empty()) {
+    if (ineligible.empty() && c.free_slots <= 0) ineligible = "no free slot";
+    if (ineligible.empty()) {
       others.push_back(std::move(c));
     } else {
-      choice.others.push_back({id, std::move(unfit)});
+      choice.others.push_back({id, std::move(ineligible)});
     }
   }
   if (others.empty()) return std::nullopt;
-  return RoomierOfTwo(others);
+  return ChooseOfTwo(others);
 }
 
-std::optional<placement::candidate> placement::ChooseAbroad(
+std::optional<placement::candidate> placement::ChooseInRemoteRegion(
     const service_zones& zones, const place_request& request,
     const region_id& only, monotonic_time now, place_choice& choice,
-    std::optional<refusal>& blocked) {
-  candidates abroad;
+    std::optional<refusal>& earliest_refusal) {
+  candidates remote;
   for (const auto& [id, z] : zones) {
-    if (IsOwnRegion(z) || drained_.contains(z.report.region)) continue;
+    if (IsLocalRegion(z) || drained_.contains(z.report.region)) continue;
     if (!only.IsEmpty() && z.report.region != only) continue;
-    std::string unfit = Unfit(z, request, now);
+    std::string ineligible = IneligibleReason(z, request, now);
     candidate c = Estimate(z);
-    // Work from outside must not queue in front of the region's own.
-    if (unfit.empty() && c.free_slots <= 0) unfit = "no slot free";
-    if (unfit.empty()) {
-      abroad.push_back(std::move(c));
+    // Requests from other regions must not queue ahead of the region's local
+    // requests.
+    if (ineligible.empty() && c.free_slots <= 0) ineligible = "no free slot";
+    if (ineligible.empty()) {
+      remote.push_back(std::move(c));
     } else {
-      choice.others.push_back({id, std::move(unfit)});
+      choice.others.push_back({id, std::move(ineligible)});
     }
   }
-  while (!abroad.empty()) {
-    const candidate c = RoomierOfTwo(abroad);
-    const std::optional<refusal> problem = TakeCrossing(request, c.region, now);
-    if (!problem) return c;
-    if (!blocked || problem->retry_at < blocked->retry_at) blocked = problem;
+  while (!remote.empty()) {
+    const candidate c = ChooseOfTwo(remote);
+    const std::optional<refusal> reserve_refusal =
+        ReserveCrossRegion(request, c.region, now);
+    if (!reserve_refusal) return c;
+    if (!earliest_refusal ||
+        reserve_refusal->retry_at < earliest_refusal->retry_at)
+      earliest_refusal = reserve_refusal;
     choice.others.push_back(
-        {c.zone, std::string(RefusalName(problem->reason))});
-    std::erase_if(abroad,
+        {c.zone, std::string(RefusalName(reserve_refusal->reason))});
+    std::erase_if(remote,
                   [&](const candidate& a) { return a.region == c.region; });
   }
   return std::nullopt;
 }
 
-// Takes a permit and the link's bytes, or says what is missing.
-std::optional<refusal> placement::TakeCrossing(const place_request& request,
-                                               const region_id& region,
-                                               monotonic_time now) {
+// Consumes a permit and link bytes, or returns why this is not possible.
+std::optional<refusal> placement::ReserveCrossRegion(
+    const place_request& request, const region_id& region, monotonic_time now) {
   const service_region key(request.service, region);
   ++wants_[key];
   const auto found = permits_.find(key);
@@ -275,17 +287,18 @@
   if (!link.TryTake(request.expected_response_bytes, now)) {
     const monotonic_time free_at =
         link.AvailableAt(request.expected_response_bytes, now);
-    const bool ever = free_at != monotonic_time::max();
-    return refusal{refusal_reason::kLinkBudget,
-                   ever ? std::max(free_at, RetryAt(now)) : RetryAt(now)};
+    const bool can_ever_fit = free_at != monotonic_time::max();
+    return refusal{
+        refusal_reason::kLinkBudget,
+        can_ever_fit ? std::max(free_at, RetryAt(now)) : RetryAt(now)};
   }
   --found->second.count;
   return std::nullopt;
 }
 
-// Moves exactly the fraction, spread evenly: each request earns the fraction,
-// and a whole one is spent on a move.
-bool placement::TakesShift(const service_id& service) {
+// Moves exactly the fraction, evenly spread: each request adds the fraction to
+// a credit, and each move costs a credit of one.
+bool placement::ShouldShift(const service_id& service) {
   const auto found = shifts_.find(service);
   if (found == shifts_.end()) return false;
   const shift& s = found->second;
@@ -297,9 +310,9 @@
   return true;
 }
 
-// For an entry whose own zone doesn't serve: reports lag, so a zone without
-// room by its report is still asked. A request that was refused once isn't sent
-// round any more.
+// For an entry whose local zone does not serve. Reports lag, so a zone without
+// free slots by its report is still tried. A request that was already tried
+// elsewhere is not sent on again.
 std::optional<placement::candidate> placement::ChooseWithoutFreeSlots(
     const service_zones& zones, const place_request& request,
     monotonic_time now) {
@@ -307,11 +320,11 @@
   candidates region;
   for (const auto& [id, z] : zones) {
     const bool serves = !z.report.leaving && z.report.slots > 0;
-    if (!IsOwnRegion(z) || !serves || now < z.avoid_until) continue;
+    if (!IsLocalRegion(z) || !serves || now < z.avoid_until) continue;
     region.push_back(Estimate(z));
   }
   if (region.empty()) return std::nullopt;
-  return RoomierOfTwo(region);
+  return ChooseOfTwo(region);
 }
 
 place_result placement::Choose(const place_request& request,
@@ -322,51 +335,51 @@
   }
   const service_zones& zones = found->second;
   place_choice choice;
-  std::optional<refusal> blocked;
-  const auto to = [&](const candidate& c, const char* reason) {
+  std::optional<refusal> earliest_refusal;
+  const auto choose = [&](const candidate& c, const char* reason) {
     choice.zone = c.zone;
     choice.region = c.region;
     choice.reason = reason;
     return place_result(std::move(choice));
   };
   const bool drained = drained_.contains(options_.region);
-  const bool shifted = TakesShift(request.service);
+  const bool shifted = ShouldShift(request.service);
   if (shifted || drained) {
     const region_id only =
         shifted ? shifts_.at(request.service).to : region_id();
-    if (const auto c =
-            ChooseAbroad(zones, request, only, now, choice, blocked)) {
-      return to(*c, shifted ? "planned shift" : "own region is drained");
+    if (const auto c = ChooseInRemoteRegion(zones, request, only, now, choice,
+                                            earliest_refusal)) {
+      return choose(*c, shifted ? "planned shift" : "local region is drained");
     }
   }
-  // What can't move yet is served here: a drain must not turn requests away
-  // that the region can still carry.
-  const bool own_serves = OwnZoneServes(zones, request);
-  if (own_serves && !overflow_[request.service].TakesMove()) {
-    return to(Estimate(zones.at(options_.zone)), "own zone");
+  // Requests that cannot move yet are served in the local region: a drain must
+  // not reject requests that the region can still serve.
+  const bool local_serves = LocalZoneServes(zones, request);
+  if (local_serves && !overflow_[request.service].ShouldMoveNext()) {
+    return choose(Estimate(zones.at(options_.zone)), "local zone");
   }
   if (const auto c = ChooseInRegion(zones, request, now, choice)) {
-    return to(*c, "own zone has too much, this one has a slot free");
+    return choose(*c, "local zone is overloaded, this zone has a free slot");
   }
   if (!drained && !shifted) {
-    if (const auto c =
-            ChooseAbroad(zones, request, region_id(), now, choice, blocked)) {
-      return to(*c, "no slot is free in the own region");
+    if (const auto c = ChooseInRemoteRegion(zones, request, region_id(), now,
+                                            choice, earliest_refusal)) {
+      return choose(*c, "no free slot in the local region");
     }
   }
-  if (own_serves) {
-    return to(Estimate(zones.at(options_.zone)), "no slot is free elsewhere");
+  if (local_serves) {
+    return choose(Estimate(zones.at(options_.zone)), "no free slot elsewhere");
   }
   if (const auto c = ChooseWithoutFreeSlots(zones, request, now)) {
-    return to(*c, "no slot is free anywhere");
+    return choose(*c, "no free slot in any zone");
   }
-  if (blocked) return *blocked;
+  if (earliest_refusal) return *earliest_refusal;
   return refusal{refusal_reason::kNoCapacity, RetryAt(now)};
 }
 
 monotonic_time placement::RetryAt(monotonic_time now) {
   const double spread = 1 + std::ldexp(random_(), -32);
-  return now + FromSeconds(ToSeconds(kRetry) * spread);
+  return now + FromSeconds(ToSeconds(kRetryDelay) * spread);
 }
 
 }  // namespace citron
