--- a/include/citron/policy/vm_choice.h
+++ b/include/citron/policy/vm_choice.h
@@ -8,21 +8,22 @@
 
 namespace citron {
 
-// A VM that callers may be sent to, as this VM knows it.
+// A VM that callers may be sent to, as known to this VM.
 struct vm_candidate {
   vm_id id;
   zone_id zone;
   region_id region;
   endpoint callers;
-  bool ready = true;  // It says that it takes requests.
-  bool heard = true;  // It was heard from lately.
+  bool ready = true;  // The VM reports that it accepts requests.
+  bool heard = true;  // A recent report was received.
   double link_mbps = 0;
-  bool strained = false;  // It has little of its processor left.
+  bool strained = false;  // The processor is near capacity.
 };
 
-// The VMs that callers of a zone are told of: of those that take requests the
-// nearest, and of these the ones with wide links, as long as there are two of
-// them and none is strained. Empty only if there is no candidate at all.
+// Returns the VMs to which callers of a zone are sent: the nearest VMs that
+// accept requests, and of these only the VMs with wide links if there are at
+// least two of them and none is near capacity. The result is empty only if
+// `all` is empty.
 std::vector<vm_candidate> ChooseVms(const std::vector<vm_candidate>& all,
                                     const zone_id& zone,
                                     const region_id& region);
--- a/src/policy/fair_queue.cc
+++ b/src/policy/fair_queue.cc
@@ -6,41 +6,42 @@
 namespace citron {
 namespace {
 
-constexpr double kSmallestWeight = 1e-6;
+constexpr double kMinWeight = 1e-6;
 
 }  // namespace
 
-// Answers: one workspace that sends several times its part. In a queue by
-// arrival it takes the slots in proportion to what it sends, and the small
-// workspaces wait behind it; one notices by the worst-served workspace. Here
-// each workspace has a clock of the slot time that it was given over its
-// weight, and the one that is furthest behind goes next.
+// Load: one workspace sends several times its share. In a queue ordered by
+// arrival that workspace takes slots in proportion to its requests, and small
+// workspaces wait behind it, which shows in the worst-served workspace. Here
+// each workspace has a virtual clock, the slot time that it received divided by
+// its weight, and the workspace with the lowest clock goes next.
 //
-// Deficit round robin does the same for costs that are alike. Ours differ a
-// thousandfold (reports beside look-ups): a quantum as small as a look-up makes
-// a report wait for hundreds of rounds, one as large as a report lets a
-// workspace send hundreds of look-ups in a row. A virtual clock has no quantum.
+// Deficit round robin gives the same result for similar costs. Costs here
+// differ a thousandfold (reports and look-ups): with a quantum the size of a
+// look-up a report waits for hundreds of rounds, and with a quantum the size of
+// a report a workspace sends hundreds of look-ups in a row. A virtual clock
+// needs no quantum.
 //
-// Inside a workspace the order is by the latest start, which is by deadline for
-// requests of one class; a report with a later deadline may still have to start
-// sooner than a look-up.
+// Within a workspace requests are ordered by latest start, which is the order
+// of deadlines for requests of one class. A report with a later deadline may
+// have to start sooner than a look-up.
 
-fair_queue::turn fair_queue::TurnOf(workspace_queue& q) {
-  return turn{q.virtual_time, q.number, &q};
+fair_queue::schedule_position fair_queue::PositionOf(workspace_queue& q) {
+  return schedule_position{q.virtual_time, q.tie_breaker, &q};
 }
 
 void fair_queue::Push(const queued_request& request) {
   const auto [found, added] = workspaces_.try_emplace(request.workspace);
   workspace_queue& q = found->second;
-  if (added) q.number = next_number_++;
-  q.weight = std::max(request.weight, kSmallestWeight);
+  if (added) q.tie_breaker = next_tie_breaker_++;
+  q.weight = std::max(request.weight, kMinWeight);
   if (q.IsEmpty()) {
-    // A workspace that was away can't save up a claim to the slots.
+    // An idle workspace must not accumulate a claim to slots.
     q.virtual_time = std::max(q.virtual_time, virtual_now_);
-    turns_.insert(TurnOf(q));
+    schedule_.insert(PositionOf(q));
   }
   lane& l = request.long_running ? q.long_lane : q.short_lane;
-  l.emplace(order{request.latest_start, request.id}, request);
+  l.emplace(start_order{request.latest_start, request.id}, request);
   (request.long_running ? q.long_cost : q.short_cost) += request.cost;
   if (!request.long_running) short_cost_ += request.cost;
   total_cost_ += request.cost;
@@ -52,13 +53,13 @@
     return q.short_lane.empty() ? nullptr : &q.short_lane;
   }
   if (q.short_lane.empty()) return &q.long_lane;
-  const order& next_long = q.long_lane.begin()->first;
-  const order& next_short = q.short_lane.begin()->first;
+  const start_order& next_long = q.long_lane.begin()->first;
+  const start_order& next_short = q.short_lane.begin()->first;
   return next_long < next_short ? &q.long_lane : &q.short_lane;
 }
 
-queued_request fair_queue::Take(workspace_queue& q, lane& l,
-                                lane::iterator at) {
+queued_request fair_queue::Extract(workspace_queue& q, lane& l,
+                                   lane::iterator at) {
   queued_request taken = std::move(at->second);
   l.erase(at);
   (taken.long_running ? q.long_cost : q.short_cost) -= taken.cost;
@@ -69,27 +70,28 @@
 }
 
 std::optional<queued_request> fair_queue::Pop(bool long_allowed) {
-  for (auto next = turns_.begin(); next != turns_.end(); ++next) {
+  for (auto next = schedule_.begin(); next != schedule_.end(); ++next) {
     workspace_queue& q = *next->queue;
     lane* l = NextLane(q, long_allowed);
     if (l == nullptr) continue;
-    turns_.erase(next);
-    const queued_request taken = Take(q, *l, l->begin());
+    schedule_.erase(next);
+    const queued_request taken = Extract(q, *l, l->begin());
     const double charge = ToSeconds(taken.cost) / q.weight;
-    // Only a workspace whose long work was held back falls behind the clock.
-    // Without this bound it would take every slot until it had caught up.
+    // Only a workspace whose long requests were held back falls behind the
+    // clock. Without this bound it would take every slot until it had caught
+    // up.
     q.virtual_time = std::max(q.virtual_time, virtual_now_ - charge);
     virtual_now_ = std::max(virtual_now_, q.virtual_time);
     q.virtual_time += charge;
-    if (!q.IsEmpty()) turns_.insert(TurnOf(q));
-    if (turns_.empty()) Reset();
+    if (!q.IsEmpty()) schedule_.insert(PositionOf(q));
+    if (schedule_.empty()) Reset();
     return taken;
   }
   return std::nullopt;
 }
 
-// Nobody waits, so nobody is owed anything; workspaces that went for good don't
-// pile up.
+// With no request queued, no workspace has a claim to slots. Clearing also
+// removes workspaces that never return.
 void fair_queue::Reset() {
   workspaces_.clear();
   virtual_now_ = 0;
@@ -100,35 +102,37 @@
   if (found == workspaces_.end()) return;
   workspace_queue& q = found->second;
   lane& l = request.long_running ? q.long_lane : q.short_lane;
-  const auto at = l.find(order{request.latest_start, request.id});
+  const auto at = l.find(start_order{request.latest_start, request.id});
   if (at == l.end()) return;
-  Take(q, l, at);
-  if (q.IsEmpty()) turns_.erase(TurnOf(q));
-  if (turns_.empty()) Reset();
+  Extract(q, l, at);
+  if (q.IsEmpty()) schedule_.erase(PositionOf(q));
+  if (schedule_.empty()) Reset();
 }
 
 std::optional<queued_request> fair_queue::Surplus() const {
-  const workspace_queue* most = nullptr;
-  double most_cost = -1;
-  for (const turn& t : turns_) {
-    const workspace_queue& q = *t.queue;
+  const workspace_queue* largest = nullptr;
+  double largest_cost = -1;
+  for (const schedule_position& position : schedule_) {
+    const workspace_queue& q = *position.queue;
     const double cost = ToSeconds(q.short_cost + q.long_cost) / q.weight;
-    if (cost <= most_cost) continue;
-    most = &q;
-    most_cost = cost;
+    if (cost <= largest_cost) continue;
+    largest = &q;
+    largest_cost = cost;
   }
-  if (most == nullptr) return std::nullopt;
-  if (most->short_lane.empty()) return most->long_lane.rbegin()->second;
-  if (most->long_lane.empty()) return most->short_lane.rbegin()->second;
-  const auto& last_short = *most->short_lane.rbegin();
-  const auto& last_long = *most->long_lane.rbegin();
+  if (largest == nullptr) return std::nullopt;
+  if (largest->short_lane.empty()) return largest->long_lane.rbegin()->second;
+  if (largest->long_lane.empty()) return largest->short_lane.rbegin()->second;
+  const auto& last_short = *largest->short_lane.rbegin();
+  const auto& last_long = *largest->long_lane.rbegin();
   return last_short.first < last_long.first ? last_long.second
                                             : last_short.second;
 }
 
-// New requests mostly come in near the end, so this counts back from there.
-duration fair_queue::AheadIn(const lane& l, duration total,
-                             monotonic_time start) {
+// Most new requests belong near the end of the lane. The scan therefore runs
+// backward from the end and subtracts the cost of requests that start later
+// from the total.
+duration fair_queue::CostStartingBy(const lane& l, duration total,
+                                    monotonic_time start) {
   for (auto at = l.rbegin(); at != l.rend(); ++at) {
     if (at->first.first <= start) break;
     total -= at->second.cost;
@@ -139,27 +143,29 @@
 duration fair_queue::CostAhead(const workspace_id& workspace, double weight,
                                monotonic_time latest_start, duration cost,
                                bool short_only) const {
-  const workspace_queue* mine = nullptr;
-  duration own{};
+  const workspace_queue* target = nullptr;
+  duration target_cost{};
   const auto found = workspaces_.find(workspace);
   if (found != workspaces_.end()) {
-    mine = &found->second;
-    own += AheadIn(mine->short_lane, mine->short_cost, latest_start);
+    target = &found->second;
+    target_cost +=
+        CostStartingBy(target->short_lane, target->short_cost, latest_start);
     if (!short_only) {
-      own += AheadIn(mine->long_lane, mine->long_cost, latest_start);
+      target_cost +=
+          CostStartingBy(target->long_lane, target->long_cost, latest_start);
     }
   }
-  // By the time that this workspace has been given this much, each other one
-  // has been given as much for its weight, if it had it queued.
-  const double rounds =
-      ToSeconds(own + cost) / std::max(weight, kSmallestWeight);
-  double ahead = ToSeconds(own);
-  for (const turn& t : turns_) {
-    const workspace_queue& q = *t.queue;
-    if (&q == mine) continue;
+  // By the time that this workspace has received this slot time, every other
+  // workspace has received as much for its weight, up to its queued cost.
+  const double normalized_cost =
+      ToSeconds(target_cost + cost) / std::max(weight, kMinWeight);
+  double ahead = ToSeconds(target_cost);
+  for (const schedule_position& position : schedule_) {
+    const workspace_queue& q = *position.queue;
+    if (&q == target) continue;
     const duration queued =
         short_only ? q.short_cost : q.short_cost + q.long_cost;
-    ahead += std::min(ToSeconds(queued), rounds * q.weight);
+    ahead += std::min(ToSeconds(queued), normalized_cost * q.weight);
   }
   return FromSeconds(ahead);
 }
--- a/tests/policy/fair_queue_test.cc
+++ b/tests/policy/fair_queue_test.cc
@@ -8,8 +8,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-queued_request Item(const std::string& id, const std::string& workspace,
-                    int latest_start_ms, double weight = 1) {
+queued_request Request(const std::string& id, const std::string& workspace,
+                       int latest_start_ms, double weight = 1) {
   return {.id = request_id(id),
           .workspace = workspace_id(workspace),
           .weight = weight,
@@ -17,12 +17,12 @@
           .latest_start = monotonic_time(milliseconds(latest_start_ms))};
 }
 
-queued_request LongItem(const std::string& id, const std::string& workspace,
-                        int latest_start_ms) {
-  queued_request item = Item(id, workspace, latest_start_ms);
-  item.long_running = true;
-  item.cost = seconds(4);
-  return item;
+queued_request LongRequest(const std::string& id, const std::string& workspace,
+                           int latest_start_ms) {
+  queued_request request = Request(id, workspace, latest_start_ms);
+  request.long_running = true;
+  request.cost = seconds(4);
+  return request;
 }
 
 std::string NextId(fair_queue& queue, bool long_allowed = true) {
@@ -35,8 +35,8 @@
 BOOST_AUTO_TEST_CASE(SharesByWeight) {
   fair_queue queue;
   for (int i = 0; i < 300; ++i) {
-    queue.Push(Item("a" + std::to_string(i), "a", i, 1));
-    queue.Push(Item("b" + std::to_string(i), "b", i, 3));
+    queue.Push(Request("a" + std::to_string(i), "a", i, 1));
+    queue.Push(Request("b" + std::to_string(i), "b", i, 3));
   }
   int a = 0;
   for (int i = 0; i < 200; ++i) {
@@ -45,29 +45,29 @@
   BOOST_TEST(std::abs(a - 50) <= 1);
 }
 
-BOOST_AUTO_TEST_CASE(TheOneThatMustStartFirstGoesFirst) {
+BOOST_AUTO_TEST_CASE(EarliestLatestStartGoesFirst) {
   fair_queue queue;
-  queue.Push(Item("late", "a", 500));
-  queue.Push(Item("soon", "a", 100));
-  queue.Push(LongItem("report", "a", 50));
+  queue.Push(Request("late", "a", 500));
+  queue.Push(Request("soon", "a", 100));
+  queue.Push(LongRequest("report", "a", 50));
   BOOST_TEST(NextId(queue, false) == "soon");
   BOOST_TEST(NextId(queue, true) == "report");
   BOOST_TEST(NextId(queue, true) == "late");
   BOOST_TEST(NextId(queue, true) == "");
 }
 
-// A workspace's reports were held back for a while, so that it was given
-// nothing. When it then looks something up, it must not take every slot until
-// it has caught up.
-BOOST_AUTO_TEST_CASE(HeldBackWorkSavesUpNoClaim) {
+// Long requests of a workspace were held back for a while, so the workspace
+// received no slot time. Its later short requests must not take every slot
+// until the workspace has caught up.
+BOOST_AUTO_TEST_CASE(HeldBackRequestsAccumulateNoClaim) {
   fair_queue queue;
-  queue.Push(LongItem("report", "held", 100000));
+  queue.Push(LongRequest("report", "held", 100000));
   for (int i = 0; i < 400; ++i) {
-    queue.Push(Item("a" + std::to_string(i), "a", i));
+    queue.Push(Request("a" + std::to_string(i), "a", i));
   }
   for (int i = 0; i < 200; ++i) NextId(queue, false);
   for (int i = 0; i < 100; ++i) {
-    queue.Push(Item("h" + std::to_string(i), "held", i));
+    queue.Push(Request("h" + std::to_string(i), "held", i));
   }
   int held = 0;
   for (int i = 0; i < 100; ++i) {
@@ -76,9 +76,9 @@
   BOOST_TEST(std::abs(held - 50) <= 2);
 }
 
-BOOST_AUTO_TEST_CASE(CostAheadFollowsTheShares) {
+BOOST_AUTO_TEST_CASE(CostAheadFollowsShares) {
   fair_queue queue;
-  for (int i = 0; i < 10; ++i) queue.Push(Item(std::to_string(i), "a", i));
+  for (int i = 0; i < 10; ++i) queue.Push(Request(std::to_string(i), "a", i));
   const duration cost = milliseconds(40);
   const monotonic_time last{seconds(9)};
   const auto ahead = [&](const char* workspace, monotonic_time start) {
@@ -90,11 +90,11 @@
   BOOST_TEST((ahead("new", last) == milliseconds(40)));
 }
 
-BOOST_AUTO_TEST_CASE(RoomIsMadeByTheOneWithMost) {
+BOOST_AUTO_TEST_CASE(SurplusComesFromLargestWorkspace) {
   fair_queue queue;
-  queue.Push(Item("small", "small", 900));
-  queue.Push(Item("x", "large", 100));
-  queue.Push(Item("y", "large", 200));
+  queue.Push(Request("small", "small", 900));
+  queue.Push(Request("x", "large", 100));
+  queue.Push(Request("y", "large", 200));
   BOOST_TEST(queue.Surplus()->id.Str() == "y");
   queue.Remove(*queue.Surplus());
   BOOST_TEST(queue.Size() == 2u);
