--- a/src/policy/link_budget.cc
+++ b/src/policy/link_budget.cc
@@ -5,60 +5,59 @@
 
 namespace citron {
 
-// Answers: photo bundles and reports that cross between regions. The link is
-// narrow (300 Mbit/s) and shared by all traffic, so one morning's bundles
-// stretch every look-up that crosses beside them; one notices by look-ups that
-// are slow only when they cross. Each entry VM spends only its part of the
-// link's bytes.
+// Load: photo bundles and reports between regions. The link is narrow (300
+// Mbit/s) and shared by all traffic, so the photo bundles of one morning delay
+// every cross-region look-up; look-ups within a region stay fast. Each entry VM
+// uses only its share of the link's bytes.
 //
-// A 100 MB bundle is larger than any sensible burst. If it had to fit, it could
-// never cross; if the burst were as large as the largest bundle, the link could
-// be filled for seconds. So it may start when the burst is whole and leaves a
-// debt that is paid back before the next crossing: over any time t no more than
-// rate x t + burst + one transfer is taken.
+// A 100 MB photo bundle is larger than any useful burst. If the whole transfer
+// had to fit, it could never be sent; with a burst as large as the largest
+// bundle, the link could be filled for seconds. A transfer therefore may start
+// when the burst is full, and leaves a debt that is paid back before the next
+// transfer: over any time t at most rate x t + burst + one transfer is taken.
 
 link_budget::link_budget(double bytes_per_s, duration burst)
     : bytes_per_s_(bytes_per_s), burst_(burst) {}
 
-double link_budget::BytesAt(monotonic_time now) const {
-  const double elapsed = std::max(0.0, ToSeconds(now - counted_at_));
-  return std::min(Burst(), bytes_ + elapsed * Rate());
+double link_budget::AvailableBytes(monotonic_time now) const {
+  const double elapsed = std::max(0.0, ToSeconds(now - updated_at_));
+  return std::min(Burst(), available_bytes_ + elapsed * Rate());
 }
 
 void link_budget::SetShare(double fraction, monotonic_time now) {
-  // What was saved up under a larger share must not outlive it.
-  bytes_ = BytesAt(now);
-  counted_at_ = now;
+  // Budget accumulated under a larger share must not outlast that share.
+  available_bytes_ = AvailableBytes(now);
+  updated_at_ = now;
   fraction_ = std::clamp(fraction, 0.0, 1.0);
-  bytes_ = std::min(bytes_, Burst());
+  available_bytes_ = std::min(available_bytes_, Burst());
 }
 
 bool link_budget::CanTake(std::uint64_t bytes, monotonic_time now) const {
   if (Rate() <= 0) return false;
   const double needed = std::min(static_cast<double>(bytes), Burst());
-  // Half a byte of slack, as AvailableAt rounds to nanoseconds.
-  return BytesAt(now) + 0.5 >= needed;
+  // Half a byte of tolerance, as AvailableAt rounds to nanoseconds.
+  return AvailableBytes(now) + 0.5 >= needed;
 }
 
 bool link_budget::TryTake(std::uint64_t bytes, monotonic_time now) {
   if (!CanTake(bytes, now)) return false;
-  bytes_ = BytesAt(now) - static_cast<double>(bytes);
-  counted_at_ = now;
+  available_bytes_ = AvailableBytes(now) - static_cast<double>(bytes);
+  updated_at_ = now;
   return true;
 }
 
 void link_budget::Settle(std::uint64_t taken, std::uint64_t used,
                          monotonic_time now) {
   const double excess = static_cast<double>(used) - static_cast<double>(taken);
-  bytes_ = std::min(Burst(), BytesAt(now) - excess);
-  counted_at_ = std::max(counted_at_, now);
+  available_bytes_ = std::min(Burst(), AvailableBytes(now) - excess);
+  updated_at_ = std::max(updated_at_, now);
 }
 
 monotonic_time link_budget::AvailableAt(std::uint64_t bytes,
                                         monotonic_time now) const {
   if (Rate() <= 0) return monotonic_time::max();
   const double needed = std::min(static_cast<double>(bytes), Burst());
-  const double missing = std::max(0.0, needed - BytesAt(now));
+  const double missing = std::max(0.0, needed - AvailableBytes(now));
   return now + FromSeconds(missing / Rate());
 }
 
