--- a/include/citron/policy/refusal.h
+++ b/include/citron/policy/refusal.h
@@ -7,28 +7,30 @@
 
 namespace citron {
 
-// Why a request was turned away. A refusal always means "not run".
+// Why a request was rejected. A refusal always means that the request did not
+// run.
 enum class refusal_reason {
-  kQueueFull,          // The queue is at its bound.
-  kWouldMissDeadline,  // Its predicted end lies after its deadline.
-  kExpiredInQueue,     // It waited until it could no longer end in time.
-  kPoison,             // Its like was in flight at two upstream crashes.
-  kNoUpstream,         // No upstream takes work.
-  kDraining,           // The place that was asked is leaving.
-  kOverRate,           // The workspace is over its rate and burst.
-  kNoCapacity,         // No zone is expected to answer in time.
-  kShiftCap,           // The receiving region grants no more yet.
-  kLinkBudget,         // The link between the regions is used up.
-  kRetryBudget,        // Retries are already their full part of the traffic.
-  kUnknownService,     // Nobody serves it.
+  kQueueFull,          // The queue is full.
+  kWouldMissDeadline,  // The predicted end is after the deadline.
+  kExpiredInQueue,     // It waited until it could not meet its deadline.
+  kPoison,             // Such a request was in flight at two upstream crashes.
+  kNoUpstream,         // No upstream accepts requests.
+  kDraining,           // The receiver of the request is leaving.
+  kOverRate,           // The workspace exceeds its rate and burst.
+  kNoCapacity,         // No zone is expected to respond in time.
+  kShiftCap,           // The receiving region grants no more permits yet.
+  kLinkBudget,         // The budget of the link between regions is used up.
+  kRetryBudget,        // Retries are at their maximum share of traffic.
+  kUnknownService,     // No zone is known to serve the service.
 };
 
-// "queue_full" and so on; for answers, logs and metric labels.
+// Returns the outer name, such as "queue_full", for responses, logs and metric
+// labels.
 std::string_view RefusalName(refusal_reason reason);
 
 struct refusal {
   refusal_reason reason = refusal_reason::kNoCapacity;
-  monotonic_time retry_at;  // When asking again makes sense.
+  monotonic_time retry_at;  // Earliest useful time for a retry.
 };
 
 }  // namespace citron
--- a/include/citron/policy/rendezvous.h
+++ b/include/citron/policy/rendezvous.h
@@ -14,18 +14,19 @@
   return x ^ (x >> 31);
 }
 
-// From 0, exclusive, to 1, inclusive.
-inline double UnitOf(std::uint64_t hash) {
+// Maps a hash to a number from 0, exclusive, to 1, inclusive.
+inline double HashToUnitInterval(std::uint64_t hash) {
   constexpr double kScale = 1.0 / 9007199254740992.0;  // 2^-53
   return (static_cast<double>(hash >> 11) + 1.0) * kScale;
 }
 
-// Weighted rendezvous hashing: of several nodes, the one with the lowest cost
-// has the key. Each gets keys in proportion to its weight, all who know the
-// same nodes agree, and a node that comes or goes moves its own keys only.
+// Weighted rendezvous hashing: the node with the lowest cost for a key holds
+// the key. Each node gets keys in proportion to its weight, all processes that
+// know the same nodes agree, and adding or removing a node moves only the keys
+// of that node.
 inline double RendezvousCost(std::uint64_t key, std::uint64_t node,
                              double weight) {
-  return -std::log(UnitOf(MixHashes(key, node))) / weight;
+  return -std::log(HashToUnitInterval(MixHashes(key, node))) / weight;
 }
 
 }  // namespace citron
--- a/tests/policy/event_loop.h
+++ b/tests/policy/event_loop.h
@@ -11,14 +11,15 @@
 
 namespace citron {
 
-// Plays events in the order of their simulated time; those of one time in the
-// order in which they were added.
+// Runs events in the order of their simulated time, and events of equal time in
+// the order in which they were added.
 class event_loop {
  public:
   void At(duration at, std::function<void()> run) {
-    events_.push({std::max(at, elapsed_), next_number_++, std::move(run)});
+    events_.push(
+        {std::max(at, elapsed_), next_sequence_number_++, std::move(run)});
   }
-  // Until no event is left.
+  // Runs until no event is left.
   void Run() {
     while (!events_.empty()) {
       const event next = events_.top();
@@ -33,15 +34,16 @@
  private:
   struct event {
     duration at{};
-    std::uint64_t number = 0;
+    std::uint64_t sequence_number = 0;
     std::function<void()> run;
-    bool operator<(const event& o) const {
-      return at != o.at ? at > o.at : number > o.number;
+    bool operator<(const event& other) const {
+      return at != other.at ? at > other.at
+                            : sequence_number > other.sequence_number;
     }
   };
 
   std::priority_queue<event> events_;
-  std::uint64_t next_number_ = 0;
+  std::uint64_t next_sequence_number_ = 0;
   duration elapsed_{};
 };
 
