--- a/tests/policy/vm_choice_test.cc
+++ b/tests/policy/vm_choice_test.cc
@@ -48,10 +48,10 @@
 }
 
 vm_candidate VmWithLink(const char* id, double link_mbps,
-                        bool near_capacity = false) {
+                        bool is_near_capacity = false) {
   vm_candidate vm = Vm(id, "z1", "r1");
   vm.link_mbps = link_mbps;
-  vm.strained = near_capacity;
+  vm.strained = is_near_capacity;
   return vm;
 }
 
