--- a/include/citron/policy/fair_queue.h
+++ b/include/citron/policy/fair_queue.h
@@ -24,7 +24,7 @@
 };
 
 // Shares slot time between workspaces by weight. Within a workspace, the
-// request with the earliest latest start goes first.
+// request with the smallest `latest_start` goes first.
 class fair_queue {
  public:
   void Push(const queued_request& request);
@@ -34,12 +34,14 @@
   // Removes `request`, which must be equal to the pushed request.
   void Remove(const queued_request& request);
   // Returns the request to reject when the queue is full: the request with the
-  // latest start time, of the workspace with most queued cost for its weight.
+  // greatest `latest_start`, of the workspace with most queued cost for its
+  // weight.
   std::optional<queued_request> Surplus() const;
 
   bool IsEmpty() const { return size_ == 0; }
   std::size_t Size() const { return size_; }
-  // Expected slot time of the queued requests.
+  // Expected slot time of the queued short requests, and of all queued
+  // requests.
   duration ShortCost() const { return short_cost_; }
   duration TotalCost() const { return total_cost_; }
   // Returns the slot time that will be assigned before a request of `workspace`
@@ -59,8 +61,8 @@
     duration short_cost{};
     duration long_cost{};
     double weight = 1;
-    // Slot seconds assigned, divided by the weight, on the queue's virtual
-    // clock.
+    // Slot seconds assigned, divided by the weight, and raised with
+    // virtual_now_ while the workspace is idle or held back.
     double virtual_time = 0;
     bool IsEmpty() const { return short_lane.empty() && long_lane.empty(); }
   };
--- a/include/citron/policy/overflow_control.h
+++ b/include/citron/policy/overflow_control.h
@@ -9,10 +9,11 @@
 // other than the local zone.
 class overflow_control {
  public:
-  // Adjusts the moved fraction by the expected wait that the local zone's owner
-  // reported.
+  // Raises or lowers the moved fraction by one step, depending on the expected
+  // wait that the local zone's owner reported.
   void OnReport(duration expected_wait);
-  // Records that the local zone's owner refused a request without running it.
+  // Raises the moved fraction because the local zone's owner refused a request
+  // without running it.
   void OnRefused();
 
   // Returns true for the moved fraction of the calls, evenly spread.
--- a/include/citron/policy/placement.h
+++ b/include/citron/policy/placement.h
@@ -39,6 +39,7 @@
   friend bool operator==(const zone_report&, const zone_report&) = default;
 };
 
+// A planned move of a fraction of a service's traffic between two regions.
 struct shift {
   region_id from;
   region_id to;
@@ -51,9 +52,10 @@
   // One-way network delays.
   duration zone_latency = std::chrono::microseconds(500);
   duration region_latency = std::chrono::milliseconds(35);
-  // Age at which a report expires.
+  // Minimum age at which a report expires; see zone_report::lifetime.
   duration report_lifetime = std::chrono::seconds(3);
   double link_bytes_per_s = 300e6 / 8;  // To each remote region.
+  // Time for which unused link budget accumulates.
   duration link_burst = std::chrono::milliseconds(200);
 };
 
@@ -79,9 +81,9 @@
 
 using place_result = std::variant<place_choice, refusal>;
 
-// The number of cross-region requests that an entry could have sent since the
-// last call of TakeWants. The entry requests this many permits from the
-// receiving region's shift_ramp.
+// The number of attempts to send a request of the service to the region since
+// the last call of TakeWants, with or without a permit. The entry requests this
+// many permits from the receiving region's shift_ramp.
 struct permit_want {
   service_id service;
   region_id region;
@@ -100,8 +102,8 @@
   // Sets this process's share of the link to each remote region, 0 to 1.
   void SetLinkShare(double fraction, monotonic_time now);
 
-  // Records permits granted by a remote region's shift_ramp. Without permits no
-  // request is sent to that region.
+  // Replaces the permits for a remote region by those that its shift_ramp
+  // granted. Without permits no request is sent to that region.
   void OnPermits(const service_id& service, const region_id& region, int count,
                  monotonic_time expires_at);
   // Returns the demand for permits since the last call and clears it, so that
@@ -116,7 +118,8 @@
               monotonic_time now);
   void OnDone(const service_id& service, const zone_id& zone,
               monotonic_time now);
-  // Records that the zone refused a request without running it.
+  // Records that the zone refused a request without running it. Includes
+  // OnDone.
   void OnRefused(const service_id& service, const zone_id& zone,
                  monotonic_time now);
   // Corrects the link budget to the actual size of a response from a remote
@@ -151,7 +154,8 @@
   duration RoundTripTime(const zone_report& report) const;
   duration ExpectedWait(const zone_state& z) const;
   candidate Estimate(const zone_state& z) const;
-  // Returns why the zone cannot be chosen, or an empty string if it can.
+  // Returns why the zone is not eligible, or an empty string if it is. Callers
+  // check free slots; the local zone is chosen without this check.
   std::string IneligibleReason(const zone_state& z,
                                const place_request& request,
                                monotonic_time now) const;
--- a/include/citron/policy/refusal.h
+++ b/include/citron/policy/refusal.h
@@ -12,20 +12,20 @@
 enum class refusal_reason {
   kQueueFull,          // The queue is full.
   kWouldMissDeadline,  // The predicted end is after the deadline.
-  kExpiredInQueue,     // It waited until it could not meet its deadline.
-  kPoison,             // Such a request was in flight at two upstream crashes.
+  kExpiredInQueue,     // The request waited until too late for its deadline.
+  kPoison,             // Such requests were in flight at two upstream crashes.
   kNoUpstream,         // No upstream accepts requests.
   kDraining,           // The receiver of the request is leaving.
   kOverRate,           // The workspace exceeds its rate and burst.
-  kNoCapacity,         // No zone is expected to respond in time.
-  kShiftCap,           // The receiving region grants no more permits yet.
+  kNoCapacity,         // No zone can be chosen for the request.
+  kShiftCap,           // No valid permit for the receiving region.
   kLinkBudget,         // The budget of the link between regions is used up.
   kRetryBudget,        // Retries are at their maximum share of traffic.
   kUnknownService,     // No zone is known to serve the service.
 };
 
-// Returns the outer name, such as "queue_full", for responses, logs and metric
-// labels.
+// Returns the external name, such as "queue_full", for responses, logs and
+// metric labels.
 std::string_view RefusalName(refusal_reason reason);
 
 struct refusal {
--- a/include/citron/policy/vm_choice.h
+++ b/include/citron/policy/vm_choice.h
@@ -20,9 +20,10 @@
   bool strained = false;  // The processor is near capacity.
 };
 
-// Returns the VMs to which callers of a zone are sent: the nearest VMs that
-// accept requests, and of these only the VMs with wide links if there are at
-// least two of them and none is near capacity. The result is empty only if
+// Returns the VMs to which callers of a zone are sent: the nearest VMs of the
+// healthiest group (ready with a recent report, ready, any). Of these, only the
+// VMs with at least half of the widest link are returned if there are at least
+// two such VMs and none of them is near capacity. The result is empty only if
 // `all` is empty.
 std::vector<vm_candidate> ChooseVms(const std::vector<vm_candidate>& all,
                                     const zone_id& zone,
--- a/src/policy/fair_queue.cc
+++ b/src/policy/fair_queue.cc
@@ -6,21 +6,24 @@
 namespace citron {
 namespace {
 
+// Prevents division by zero.
 constexpr double kMinWeight = 1e-6;
 
 }  // namespace
 
-// Load: one workspace sends several times its share. In a queue ordered by
-// arrival that workspace takes slots in proportion to its requests, and small
-// workspaces wait behind it, which shows in the worst-served workspace. Here
-// each workspace has a virtual clock, the slot time that it received divided by
-// its weight, and the workspace with the lowest clock goes next.
+// Handles a workspace that sends several times its share. In a queue ordered by
+// arrival that workspace takes slots in proportion to its requests, and
+// requests of small workspaces wait behind its requests; the worst-served
+// workspace suffers most. Here each workspace has a virtual time, the slot time
+// that it received divided by its weight, and the workspace with the lowest
+// virtual time goes next. The queue's own virtual time, virtual_now_, bounds
+// how far an idle or held-back workspace may fall behind.
 //
 // Deficit round robin gives the same result for similar costs. Costs here
 // differ a thousandfold (reports and look-ups): with a quantum the size of a
 // look-up a report waits for hundreds of rounds, and with a quantum the size of
-// a report a workspace sends hundreds of look-ups in a row. A virtual clock
-// needs no quantum.
+// a report a workspace sends hundreds of look-ups in a row. Virtual time needs
+// no quantum.
 //
 // Within a workspace requests are ordered by latest start, which is the order
 // of deadlines for requests of one class. A report with a later deadline may
@@ -77,9 +80,9 @@
     schedule_.erase(next);
     const queued_request taken = Extract(q, *l, l->begin());
     const double charge = ToSeconds(taken.cost) / q.weight;
-    // Only a workspace whose long requests were held back falls behind the
-    // clock. Without this bound it would take every slot until it had caught
-    // up.
+    // Only a workspace whose long requests were held back falls behind
+    // virtual_now_. Without this bound it would take every slot until it had
+    // caught up.
     q.virtual_time = std::max(q.virtual_time, virtual_now_ - charge);
     virtual_now_ = std::max(virtual_now_, q.virtual_time);
     q.virtual_time += charge;
@@ -155,8 +158,9 @@
           CostStartingBy(target->long_lane, target->long_cost, latest_start);
     }
   }
-  // By the time that this workspace has received this slot time, every other
-  // workspace has received as much for its weight, up to its queued cost.
+  // Estimates the slot time of other workspaces, assuming equal virtual times:
+  // while `workspace` receives target_cost + cost, every other workspace
+  // receives as much for its weight, up to its queued cost.
   const double normalized_cost =
       ToSeconds(target_cost + cost) / std::max(weight, kMinWeight);
   double ahead = ToSeconds(target_cost);
--- a/src/policy/link_budget.cc
+++ b/src/policy/link_budget.cc
@@ -5,16 +5,17 @@
 
 namespace citron {
 
-// Load: photo bundles and reports between regions. The link is narrow (300
-// Mbit/s) and shared by all traffic, so the photo bundles of one morning delay
-// every cross-region look-up; look-ups within a region stay fast. Each entry VM
-// uses only its share of the link's bytes.
+// Handles photo bundles and reports sent between regions. The link is narrow
+// (300 Mbit/s) and shared by all traffic, so the photo bundles of one morning
+// delay every cross-region look-up; look-ups within a region stay fast. Each
+// entry VM uses only its share of the link's bytes.
 //
 // A 100 MB photo bundle is larger than any useful burst. If the whole transfer
 // had to fit, it could never be sent; with a burst as large as the largest
 // bundle, the link could be filled for seconds. A transfer therefore may start
 // when the burst is full, and leaves a debt that is paid back before the next
-// transfer: over any time t at most rate x t + burst + one transfer is taken.
+// transfer: over any time t TryTake takes at most rate x t + burst + one
+// transfer. Settle charges underestimates later.
 
 link_budget::link_budget(double bytes_per_s, duration burst)
     : bytes_per_s_(bytes_per_s), burst_(burst) {}
--- a/src/policy/overflow_control.cc
+++ b/src/policy/overflow_control.cc
@@ -5,20 +5,22 @@
 namespace citron {
 namespace {
 
-// Load: a zone has more work than its servers can process while other zones
-// have free capacity. A report is a snapshot. If all entries acted on it in
-// full, a queue of a few milliseconds would move the zone's whole traffic
-// elsewhere until the next report, and the other zone's traffic back; requests
-// would wait at loads that every zone could serve alone. The moved fraction
-// therefore grows and shrinks in steps.
-
-// At 0.8 of the capacity a queue of a few milliseconds forms and clears by
-// itself. A queue of 20 ms, half the service time of a look-up, does not.
+// Handles a zone that has more work than its servers can process while other
+// zones have free capacity. A report shows one moment. If all entries moved all
+// traffic at a reported queue of a few milliseconds, the traffic would
+// alternate between zones with each report, and requests would wait even at
+// loads that every zone could serve by itself. The moved fraction therefore
+// grows and shrinks in steps.
+
+// Expected waits above which traffic moves, slowly or fast. At 0.8 of the
+// capacity a queue of a few milliseconds forms and clears by itself; a queue of
+// 20 ms, half the service time of a look-up, does not.
 constexpr duration kMoveThreshold = std::chrono::milliseconds(20);
 constexpr duration kFastMoveThreshold = std::chrono::milliseconds(200);
 
-// Steps twice as large overshoot and leave the local servers idle in turn. A
-// smaller return step keeps away work that the local servers could do.
+// Changes of the moved fraction per report. Doubling these steps overshoots the
+// needed fraction and leaves local servers idle; a smaller return step leaves
+// local capacity unused.
 constexpr double kMoveStep = 0.05;
 constexpr double kFastMoveStep = 0.1;
 constexpr double kReturnStep = 0.05;
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -9,28 +9,31 @@
 namespace citron {
 namespace {
 
-// Load: a zone has more work than it can finish in time while another zone has
-// free slots. If all entries react to the same report at once, they all send to
-// the same zone and overload it.
+// Handles a zone that has more work than it can finish in time while another
+// zone has free slots. If all entries react to the same report at once, they
+// all send to the same zone and overload it.
 //
-// The local zone is preferred: other zones cost network delay and link bytes,
-// and the local caches are warm. Only the fraction that overflow_control
-// returns goes to other zones of the region, and to remote regions if none of
-// these zones has a free slot. A report is up to a second old and every entry
-// has acted on it. Each entry therefore counts what it sent since the report,
-// uses loads smoothed over reports, and takes the zone with more free slots out
-// of two random zones; the zone with most free slots of all would be the choice
-// of every entry. The owner in the chosen zone makes the final decision.
+// The local zone is preferred: other zones cost network delay, remote regions
+// also cost link bytes, and the local caches are warm. Apart from planned
+// shifts, drained regions and a local zone that does not serve, only the
+// fraction of requests chosen by overflow_control goes to other zones of the
+// region, and to remote regions if none of these zones has a free slot. A
+// report is up to a second old and every entry has acted on it. Each entry
+// therefore counts what it sent since the report, uses loads smoothed over
+// reports, and takes the zone with more free slots out of two random zones; the
+// zone with most free slots of all would be the choice of every entry. The
+// owner in the chosen zone makes the final decision.
 
 // A zone that refused a request is full or late, and its next report is about
-// this far away. Until then the zone ranks behind the others but stays
-// available: it refused a request of one workspace, and a request of another
-// workspace may still be within its fair share.
+// this far away. Until then no other zone that refused is chosen. The local
+// zone stays available: it refused a request of one workspace, and a request of
+// another workspace may still be within its fair share.
 constexpr duration kAvoidAfterRefusal = std::chrono::milliseconds(200);
 
 // Weight of the newest report; about the last three reports count.
 constexpr double kLoadSmoothing = 0.4;
 
+// Minimum delay before a retry; RetryAt adds up to the same amount at random.
 constexpr duration kRetryDelay = std::chrono::milliseconds(200);
 
 bool Contains(const std::vector<zone_id>& zones, const zone_id& zone) {
@@ -47,10 +50,10 @@
       zones_[report.service].try_emplace(report.zone, zone_state());
   zone_state& z = at->second;
   // Reports of other zones are passed in again until a new one arrives.
-  // Counting a repeat as new would discard what was sent to the zone since, so
-  // each entry would keep filling slots that were free seconds ago and the zone
-  // would refuse requests. The local zone's report is new with each view of
-  // this VM.
+  // Resetting the sent count for a repeat would discard what was sent to the
+  // zone since, so each entry would keep filling slots that were free seconds
+  // ago and the zone would refuse requests. The load of a repeat still enters
+  // smoothed_load. The local zone's report is new with each view of this VM.
   const bool is_repeat =
       !added && report.zone != options_.zone && report == z.report;
   const double load = report.in_flight + report.queued;
@@ -101,9 +104,9 @@
 
 void placement::OnPermits(const service_id& service, const region_id& region,
                           int count, monotonic_time expires_at) {
-  // A new grant replaces the rest of the previous one. The receiving region
-  // counts both, so no permit is used twice, and expired permits do not
-  // accumulate.
+  // A new grant replaces the unused permits of the previous grant. The
+  // receiving region counts the permits of both grants, so no permit is used
+  // twice, and expired permits do not accumulate.
   if (count <= 0) return;
   permits_[{service, region}] = {count, expires_at};
 }
@@ -223,20 +226,20 @@
 std::optional<placement::candidate> placement::ChooseInRegion(
     const service_zones& zones, const place_request& request,
     monotonic_time now, place_choice& choice) {
-  candidates others;
+  candidates eligible;
   for (const auto& [id, z] : zones) {
     if (!IsLocalRegion(z) || id == options_.zone) continue;
     std::string ineligible = IneligibleReason(z, request, now);
     candidate c = Estimate(z);
     if (ineligible.empty() && c.free_slots <= 0) ineligible = "no free slot";
     if (ineligible.empty()) {
-      others.push_back(std::move(c));
+      eligible.push_back(std::move(c));
     } else {
       choice.others.push_back({id, std::move(ineligible)});
     }
   }
-  if (others.empty()) return std::nullopt;
-  return ChooseOfTwo(others);
+  if (eligible.empty()) return std::nullopt;
+  return ChooseOfTwo(eligible);
 }
 
 std::optional<placement::candidate> placement::ChooseInRemoteRegion(
@@ -287,17 +290,18 @@
   if (!link.TryTake(request.expected_response_bytes, now)) {
     const monotonic_time free_at =
         link.AvailableAt(request.expected_response_bytes, now);
-    const bool can_ever_fit = free_at != monotonic_time::max();
+    const bool has_link_share = free_at != monotonic_time::max();
     return refusal{
         refusal_reason::kLinkBudget,
-        can_ever_fit ? std::max(free_at, RetryAt(now)) : RetryAt(now)};
+        has_link_share ? std::max(free_at, RetryAt(now)) : RetryAt(now)};
   }
   --found->second.count;
   return std::nullopt;
 }
 
-// Moves exactly the fraction, evenly spread: each request adds the fraction to
-// a credit, and each move costs a credit of one.
+// Returns true for exactly the shift's fraction of the requests, evenly spread:
+// each request adds the fraction to a credit, and each true result costs a
+// credit of one.
 bool placement::ShouldShift(const service_id& service) {
   const auto found = shifts_.find(service);
   if (found == shifts_.end()) return false;
@@ -310,9 +314,9 @@
   return true;
 }
 
-// For an entry whose local zone does not serve. Reports lag, so a zone without
-// free slots by its report is still tried. A request that was already tried
-// elsewhere is not sent on again.
+// Chooses among the serving zones of the local region when the local zone does
+// not serve. Reports lag, so this ignores free slots, report age and the
+// deadline. A request that was already tried elsewhere is not sent on again.
 std::optional<placement::candidate> placement::ChooseWithoutFreeSlots(
     const service_zones& zones, const place_request& request,
     monotonic_time now) {
@@ -359,19 +363,20 @@
     return choose(Estimate(zones.at(options_.zone)), "local zone");
   }
   if (const auto c = ChooseInRegion(zones, request, now, choice)) {
-    return choose(*c, "local zone is overloaded, this zone has a free slot");
+    return choose(*c, "not in the local zone, this zone has a free slot");
   }
   if (!drained && !shifted) {
     if (const auto c = ChooseInRemoteRegion(zones, request, region_id(), now,
                                             choice, earliest_refusal)) {
-      return choose(*c, "no free slot in the local region");
+      return choose(*c, "no other zone of the local region is eligible");
     }
   }
   if (local_serves) {
-    return choose(Estimate(zones.at(options_.zone)), "no free slot elsewhere");
+    return choose(Estimate(zones.at(options_.zone)),
+                  "no other zone can be chosen");
   }
   if (const auto c = ChooseWithoutFreeSlots(zones, request, now)) {
-    return choose(*c, "no free slot in any zone");
+    return choose(*c, "local zone does not serve and no zone is eligible");
   }
   if (earliest_refusal) return *earliest_refusal;
   return refusal{refusal_reason::kNoCapacity, RetryAt(now)};
--- a/src/policy/vm_choice.cc
+++ b/src/policy/vm_choice.cc
@@ -15,9 +15,10 @@
 // The failure of a single wide VM would affect all callers of its zone at once.
 constexpr std::size_t kMinWideVms = 2;
 
-// Load: VMs of different sizes in one zone. Callers go to the VMs with wide
-// links. With fewer VMs in use, each VM also sees more of the load and fewer
-// connections are kept.
+// Returns only the VMs with wide links, for VMs of different sizes at one
+// location. With fewer VMs in use, each VM also sees more of the load and fewer
+// connections are kept. Returns all VMs if fewer than two are wide or a wide VM
+// is near capacity.
 std::vector<vm_candidate> PreferWideLinks(std::vector<vm_candidate> vms) {
   double widest = 0;
   for (const vm_candidate& vm : vms) widest = std::max(widest, vm.link_mbps);
@@ -33,9 +34,10 @@
 
 }  // namespace
 
-// Load: VMs crash, freeze or lose the store. Leaves out VMs that are known to
-// fail while any other VM is available, and distant VMs while a nearer VM is
-// ready.
+// Handles VMs that crash, freeze or lose the store. Health goes before
+// distance: the choice falls on VMs that are ready with a recent report, then
+// on VMs that are ready, then on any VM; within each group on the nearest
+// location that has any.
 std::vector<vm_candidate> ChooseVms(const std::vector<vm_candidate>& all,
                                     const zone_id& zone,
                                     const region_id& region) {
--- a/tests/policy/placement_test.cc
+++ b/tests/policy/placement_test.cc
@@ -100,9 +100,9 @@
   BOOST_TEST(ChosenZone() == "s1");
 }
 
-// All traffic moves, and the other zone's report is slightly old. Without
-// counting the requests sent since the report, that zone would receive more
-// than its slots hold.
+// All traffic moves, and the other zone sends no newer report. Without counting
+// the requests sent since the report, that zone would receive more than its
+// slots hold.
 BOOST_AUTO_TEST_CASE(CountsRequestsSentSinceReport) {
   OverloadLocalZone();
   Report("s2", kSantiago, 8);
@@ -174,8 +174,9 @@
   BOOST_TEST(ChosenZone() == "s1");
 }
 
-// A zone refused a workspace that is over its share. Requests of other
-// workspaces must still reach the zone when there is no alternative.
+// The local zone refused a request, perhaps of a workspace over its share.
+// Later requests, which may be of other workspaces, must still reach the zone
+// when there is no alternative.
 BOOST_AUTO_TEST_CASE(RefusalDoesNotExcludeTheZone) {
   Report("s1", kSantiago, 16, milliseconds(10));
   place.OnRefused(kService, zone_id("s1"), now);
