--- a/src/policy/service_scheduler.cc
+++ b/src/policy/service_scheduler.cc
@@ -8,34 +8,33 @@
 namespace citron {
 namespace {
 
-// Answers: more requests than the zone's slots can end in time. A queue that
-// only has a bound lets each request wait until its caller has gone and then
-// spends a slot on it; at twice the capacity nearly all work is for callers
-// that have left, and one notices by slots that are all busy while few answers
-// arrive in time. So a request is turned away on arrival if by then it can't be
-// expected to end in time, and given up at once when it can no longer start
-// in time. The answer says when to come back; it is never held back to keep
-// the caller from asking again.
-
-// At saturation the queue serves what is about to expire, so requests start at
-// their latest start. If that left just the mean service time, half of them
-// would time out at the upstream with their slot's time spent for nothing. Four
-// mean deviations, as TCP's retransmission timer takes, leave that to one in a
-// hundred; with one it was one in twelve at three times the capacity.
-constexpr int kSwing = 4;
-
-// Callers that come back at the same moment would be the next burst; each is
-// told a time between once and twice the wait.
-constexpr double kRetrySpread = 1.0;
-constexpr duration kShortestRetry = std::chrono::milliseconds(200);
-
-// Without any upstream nothing changes sooner than a server restarts.
-constexpr duration kNoUpstreamRetry = std::chrono::seconds(1);
-
-// Connections of one crash are lost within this.
-constexpr duration kOneCrash = std::chrono::milliseconds(20);
-
-// A first try and one more.
+// Load pattern: more requests than the zone's slots can finish in time. With
+// only a bounded queue, requests wait until their callers have left and then
+// still take a slot; at twice the capacity nearly all work is for callers that
+// have left, so all slots are busy while few answers arrive in time. A request
+// is therefore rejected on arrival if it isn't expected to end in time, and
+// refused as soon as it can no longer start in time. The refusal carries a
+// retry time and is never delayed to slow the caller's retries.
+
+// At saturation the queue serves the requests closest to expiry, so requests
+// start at their latest start. If that left only the mean service time, half of
+// them would time out at the upstream and waste their slot's time. Four mean
+// deviations, as in TCP's retransmission timer, reduce that to one in a
+// hundred; one mean deviation left one in twelve at three times the capacity.
+constexpr int kDeviationMargin = 4;
+
+// Callers that retry at the same moment would be the next burst, so each retry
+// time lies between once and twice the wait.
+constexpr double kRetryJitter = 1.0;
+constexpr duration kMinRetryDelay = std::chrono::milliseconds(200);
+
+// Without any upstream, a retry can't succeed before a server has restarted.
+constexpr duration kNoUpstreamRetryDelay = std::chrono::seconds(1);
+
+// All connections of one crash are lost within this period.
+constexpr duration kCrashGroupingWindow = std::chrono::milliseconds(20);
+
+// The first attempt and one retry.
 constexpr int kMaxSends = 2;
 
 }  // namespace
@@ -70,35 +69,38 @@
   retries_.OnRequest();
   const duration expected = estimator_.Mean(request.request_class, now);
   if (!request.long_running) guard_.OnShortArrival(expected, now);
-  queued_request place{.id = request.id,
-                       .workspace = request.workspace,
-                       .weight = request.weight,
-                       .long_running = request.long_running,
-                       .cost = expected,
-                       .latest_start = LatestStart(request, expected, now)};
-  if (RefuseOnArrival(request, place, now, out)) return out;
+  queued_request queued{.id = request.id,
+                        .workspace = request.workspace,
+                        .weight = request.weight,
+                        .long_running = request.long_running,
+                        .cost = expected,
+                        .latest_start = LatestStart(request, expected, now)};
+  if (RefuseOnArrival(request, queued, now, out)) return out;
   entry& e = entries_[request.id];
   e.request = request;
-  e.place = std::move(place);
-  queue_.Push(e.place);
-  latest_starts_.emplace(e.place.latest_start, request.id);
-  MakeRoom(now, out);
+  e.queued = std::move(queued);
+  queue_.Push(e.queued);
+  latest_starts_.emplace(e.queued.latest_start, request.id);
+  EnforceQueueLimit(now, out);
   Dispatch(now, out);
   return out;
 }
 
-// When the request must have started to be likely to end in time. One that
-// could start at once isn't given up for being merely unlikely.
+// Returns the time by which the request must have started to be likely to end
+// in time. The deviation margin alone never moves that time before `now`: a
+// request that could start at once isn't refused as merely unlikely to finish.
 monotonic_time service_scheduler::LatestStart(const scheduler_request& request,
                                               duration expected,
                                               monotonic_time now) const {
-  const duration swing = kSwing * estimator_.Deviation(request.request_class);
-  const monotonic_time last = request.deadline - expected;
-  return std::min(last, std::max(now, last - swing));
+  const duration deviation_margin =
+      kDeviationMargin * estimator_.Deviation(request.request_class);
+  const monotonic_time latest_by_mean = request.deadline - expected;
+  return std::min(latest_by_mean,
+                  std::max(now, latest_by_mean - deviation_margin));
 }
 
 bool service_scheduler::RefuseOnArrival(const scheduler_request& request,
-                                        const queued_request& place,
+                                        const queued_request& queued,
                                         monotonic_time now, actions& out) {
   using standing = poison_registry::standing;
   if (poison_.Of(request.fingerprint, now) == standing::kPoison) {
@@ -108,24 +110,24 @@
   }
   if (chooser_.UsableUpstreams(now) == 0) {
     Refuse(request.id, refusal_reason::kNoUpstream,
-           RetryAt(kNoUpstreamRetry, now), out);
+           RetryAt(kNoUpstreamRetryDelay, now), out);
     return true;
   }
-  const duration wait = ExpectedWait(place, now);
-  // The wait is a sum over other requests, so it is as uncertain as they are.
-  // A request that starts at once needs no such margin.
+  const duration wait = ExpectedWait(queued, now);
+  // The wait is a sum over other requests' service times, so it is as uncertain
+  // as they are. A request that starts at once needs no such margin.
   const bool starts_now = wait == duration();
   const duration margin =
       starts_now ? duration() : estimator_.Deviation(request.request_class);
-  if (now + wait + margin <= place.latest_start) return false;
+  if (now + wait + margin <= queued.latest_start) return false;
   Refuse(request.id, refusal_reason::kWouldMissDeadline, RetryAt(wait, now),
          out);
   return true;
 }
 
-// The queue's bound is for memory; the deadlines keep it far shorter. Room is
-// made at the cost of the workspace that has most in it.
-void service_scheduler::MakeRoom(monotonic_time now, actions& out) {
+// The queue limit bounds memory; deadlines keep the queue far shorter. The
+// request refused is one of the workspace that has the most in the queue.
+void service_scheduler::EnforceQueueLimit(monotonic_time now, actions& out) {
   if (queue_.Size() + held_.size() <= options_.max_queued) return;
   const std::optional<queued_request> surplus = queue_.Surplus();
   if (!surplus) return;
@@ -155,27 +157,28 @@
   const auto found = entries_.find(id);
   if (found == entries_.end() || found->second.upstream.IsEmpty()) return out;
   entry& e = found->second;
-  TakeBack(e, outcome, now);
-  out.emplace_back(in_flight_action{e.tried, chooser_.InFlight(e.tried)});
+  ReleaseSlot(e, outcome, now);
+  out.emplace_back(
+      in_flight_action{e.last_upstream, chooser_.InFlight(e.last_upstream)});
   bool done = true;
   if (IsNotRun(outcome) && !e.cancelled) {
     OnNotRun(e, outcome, now, out);
     done = false;
   } else if (outcome == upstream_outcome::kConnectionLost) {
-    done = !OnLost(e, now, out);
+    done = !OnConnectionLost(e, now, out);
   } else if (outcome == upstream_outcome::kAnswered ||
              outcome == upstream_outcome::kServerError) {
     poison_.OnAnswered(e.request.fingerprint, now);
-    poison_.OnAlive(e.tried, e.sent_at, now);
+    poison_.OnAlive(e.last_upstream, e.sent_at, now);
   }
   if (done) entries_.erase(id);
   Dispatch(now, out);
   return out;
 }
 
-// Frees the slot and learns from how it went.
-void service_scheduler::TakeBack(entry& e, upstream_outcome outcome,
-                                 monotonic_time now) {
+// Frees the slot and updates the estimates with the outcome.
+void service_scheduler::ReleaseSlot(entry& e, upstream_outcome outcome,
+                                    monotonic_time now) {
   const duration taken = now - e.sent_at;
   const std::string& request_class = e.request.request_class;
   const duration mean = estimator_.Mean(request_class, now);
@@ -184,16 +187,17 @@
   chooser_.OnDone(e.upstream, outcome, slowness, now);
   --in_flight_;
   if (e.request.long_running) --long_in_flight_;
-  if (e.suspect) poison_.OnSuspectDone(e.request.fingerprint, e.upstream);
-  // A timeout says that it takes longer than it was given. If only answers
-  // counted, a class that always times out would go on being admitted.
+  if (e.sent_as_suspect)
+    poison_.OnSuspectDone(e.request.fingerprint, e.upstream);
+  // A timeout shows that the request takes longer than the time it had. If only
+  // answers counted, a class that always times out would still be admitted.
   const bool answered = outcome == upstream_outcome::kAnswered;
   const bool took_longer =
       outcome == upstream_outcome::kTimedOut && taken > mean;
   if (answered || took_longer) {
     estimator_.OnServed(request_class, taken, now);
   }
-  e.tried = e.upstream;
+  e.last_upstream = e.upstream;
   e.upstream = upstream_id();
 }
 
@@ -201,36 +205,38 @@
                                  monotonic_time now, actions& out) {
   const request_id id = e.request.id;
   if (e.sends >= kMaxSends) {
-    Refuse(id, refusal_reason::kNoUpstream, RetryAt(kNoUpstreamRetry, now),
+    Refuse(id, refusal_reason::kNoUpstream, RetryAt(kNoUpstreamRetryDelay, now),
            out);
     entries_.erase(id);
     return;
   }
-  // A planned stop must cost nobody a refusal, and it can't bring about many
-  // retries: after the first one that upstream gets nothing more.
-  const bool free_retry = outcome == upstream_outcome::kLeavingNotRun;
-  if (!free_retry && !retries_.TryTake()) {
-    Refuse(id, refusal_reason::kRetryBudget, RetryAt(kShortestRetry, now), out);
+  // A planned stop must not cause refusals, and it can't cause many retries:
+  // after the first such outcome that upstream gets no more requests.
+  const bool unbudgeted_retry = outcome == upstream_outcome::kLeavingNotRun;
+  if (!unbudgeted_retry && !retries_.TryTake()) {
+    Refuse(id, refusal_reason::kRetryBudget, RetryAt(kMinRetryDelay, now), out);
     entries_.erase(id);
     return;
   }
-  // One that is leaving gets nothing while it is. If it stays, or was given to
-  // another owner and came back, it may be all that this dispatch has, and
-  // what waits for a different one would wait until its deadline.
-  if (free_retry) e.tried = upstream_id();
-  latest_starts_.emplace(e.place.latest_start, id);
-  held_.emplace(e.place.latest_start, id);
+  // A leaving upstream gets no requests, so it need not be excluded here. If
+  // the upstream stays, or returns from another owner, it may be the only one
+  // of this dispatch, and a request that excludes it would wait until its
+  // deadline.
+  if (unbudgeted_retry) e.last_upstream = upstream_id();
+  latest_starts_.emplace(e.queued.latest_start, id);
+  held_.emplace(e.queued.latest_start, id);
 }
 
 const std::set<std::uint64_t>& service_scheduler::SuspectsAtCrash(
     const upstream_id& upstream, monotonic_time now) {
   using standing = poison_registry::standing;
-  const bool is_same =
-      last_crash_.upstream == upstream && now - last_crash_.at <= kOneCrash;
+  const bool is_same = last_crash_.upstream == upstream &&
+                       now - last_crash_.at <= kCrashGroupingWindow;
   if (is_same) return last_crash_.suspects;
   last_crash_ = {upstream, now, {}};
   for (const auto& [id, e] : entries_) {
-    const bool was_there = e.upstream == upstream || e.tried == upstream;
+    const bool was_there =
+        e.upstream == upstream || e.last_upstream == upstream;
     const std::uint64_t fingerprint = e.request.fingerprint;
     if (was_there && poison_.Of(fingerprint, now) == standing::kSuspect) {
       last_crash_.suspects.insert(fingerprint);
@@ -239,42 +245,47 @@
   return last_crash_.suspects;
 }
 
-// One that was sent as a suspect was kept apart from the others, so that its
-// crash says something. A copy that was sent before the suspicion may have had
-// the killer sent to it. If it counted, equal requests of many callers would be
-// convicted together with the killer; one notices by callers that are refused
-// as poison though their requests were served before. It counts only where it
-// is the only suspect: a second copy of the killer that was on its way when the
-// first one crashed its upstream need not crash a third.
-bool service_scheduler::IsProven(const entry& e, monotonic_time now) {
+// A request that was sent as a suspect went to an upstream with no other such
+// request, so the crash counts against the request. A request that was sent
+// before the suspicion may share its upstream with the poison request. If the
+// crash counted against both, equal requests of many callers would be convicted
+// with the poison request, and refused although they were served before. Such a
+// crash counts only against an upstream's only suspect: a duplicate of the
+// poison request that was in flight when the first one crashed its upstream
+// then convicts it without a third crash.
+bool service_scheduler::IsCrashEvidence(const entry& e, monotonic_time now) {
   using standing = poison_registry::standing;
-  const std::set<std::uint64_t>& suspects = SuspectsAtCrash(e.tried, now);
-  return e.suspect || suspects.size() <= 1 ||
+  const std::set<std::uint64_t>& suspects =
+      SuspectsAtCrash(e.last_upstream, now);
+  return e.sent_as_suspect || suspects.size() <= 1 ||
          poison_.Of(e.request.fingerprint, now) != standing::kSuspect;
 }
 
-// The request may have run, so it can't wait in the queue: if it expired there
-// it couldn't be refused as not run. It is sent again at once or not at all.
-bool service_scheduler::OnLost(entry& e, monotonic_time now, actions& out) {
+// The request may have run, so it can't wait in the queue: a request that
+// expires there could not be refused as not run. The request is sent again at
+// once or not at all.
+bool service_scheduler::OnConnectionLost(entry& e, monotonic_time now,
+                                         actions& out) {
   using standing = poison_registry::standing;
   const std::uint64_t fingerprint = e.request.fingerprint;
-  const bool proven = IsProven(e, now);
-  if (!proven) poison_.OnUnprovenCrash(fingerprint, now);
+  const bool is_evidence = IsCrashEvidence(e, now);
+  if (!is_evidence) poison_.OnUnprovenCrash(fingerprint, now);
   const standing after =
-      proven ? poison_.OnCrash(fingerprint, e.tried, e.sent_at, now)
-             : standing::kSuspect;
+      is_evidence
+          ? poison_.OnCrash(fingerprint, e.last_upstream, e.sent_at, now)
+          : standing::kSuspect;
   if (after == standing::kPoison) {
     out.emplace_back(poison_action{fingerprint, poison_.Until(fingerprint)});
     RefusePoisoned(fingerprint, now, out);
     return false;
   }
-  if (after == standing::kSuspect && proven) {
-    out.emplace_back(suspect_action{fingerprint, {e.tried, now}});
+  if (after == standing::kSuspect && is_evidence) {
+    out.emplace_back(suspect_action{fingerprint, {e.last_upstream, now}});
   }
-  const bool may_repeat = e.request.idempotent && !e.cancelled &&
-                          e.sends < kMaxSends && now < e.place.latest_start;
-  if (!may_repeat) return false;
-  const std::optional<upstream_id> upstream = ChooseWithCare(e, now);
+  const bool may_resend = e.request.idempotent && !e.cancelled &&
+                          e.sends < kMaxSends && now < e.queued.latest_start;
+  if (!may_resend) return false;
+  const std::optional<upstream_id> upstream = ChooseWithConstraints(e, now);
   if (!upstream || !retries_.TryTake()) return false;
   Send(e, *upstream, now, out);
   return true;
@@ -340,9 +351,9 @@
 }
 
 void service_scheduler::StopWaiting(const entry& e) {
-  const std::pair key(e.place.latest_start, e.request.id);
+  const std::pair key(e.queued.latest_start, e.request.id);
   latest_starts_.erase(key);
-  if (held_.erase(key) == 0) queue_.Remove(e.place);
+  if (held_.erase(key) == 0) queue_.Remove(e.queued);
 }
 
 void service_scheduler::RefusePoisoned(std::uint64_t fingerprint,
@@ -361,7 +372,7 @@
 void service_scheduler::ExpireWaiting(monotonic_time now, actions& out) {
   while (!latest_starts_.empty() && latest_starts_.begin()->first < now) {
     const request_id id = latest_starts_.begin()->second;
-    const duration wait = ExpectedWait(entries_.at(id).place, now);
+    const duration wait = ExpectedWait(entries_.at(id).queued, now);
     RefuseWaiting(id, refusal_reason::kExpiredInQueue, RetryAt(wait, now), out);
   }
 }
@@ -370,22 +381,23 @@
   return long_in_flight_ < guard_.LongLimit(chooser_.UsableSlots(now), now);
 }
 
-// True if not just any free slot will do.
-bool service_scheduler::NeedsCare(const entry& e, monotonic_time now) const {
-  if (!e.tried.IsEmpty()) return true;
+// Returns whether some upstreams may be unsuitable for the request.
+bool service_scheduler::HasUpstreamConstraint(const entry& e,
+                                              monotonic_time now) const {
+  if (!e.last_upstream.IsEmpty()) return true;
   if (poison_.IsEmpty()) return false;
   return poison_.Of(e.request.fingerprint, now) ==
          poison_registry::standing::kSuspect;
 }
 
-std::optional<upstream_id> service_scheduler::ChooseWithCare(
+std::optional<upstream_id> service_scheduler::ChooseWithConstraints(
     const entry& e, monotonic_time now) {
   const std::uint64_t fingerprint = e.request.fingerprint;
   const bool suspect =
       poison_.Of(fingerprint, now) == poison_registry::standing::kSuspect;
   if (suspect && !poison_.MaySend(fingerprint)) return std::nullopt;
   return chooser_.Choose(now, random_, [&](const upstream_id& id) {
-    if (id == e.tried) return false;
+    if (id == e.last_upstream) return false;
     return !suspect || !poison_.HoldsSuspect(id);
   });
 }
@@ -395,7 +407,7 @@
     const auto at = next++;
     entry& e = entries_.at(at->second);
     if (e.request.long_running && !LongAllowed(now)) continue;
-    const std::optional<upstream_id> upstream = ChooseWithCare(e, now);
+    const std::optional<upstream_id> upstream = ChooseWithConstraints(e, now);
     if (!upstream) continue;
     held_.erase(at);
     Send(e, *upstream, now, out);
@@ -413,7 +425,7 @@
   ExpireWaiting(now, out);
   while (closed_ && !latest_starts_.empty()) {
     RefuseWaiting(latest_starts_.begin()->second, refusal_reason::kDraining,
-                  RetryAt(kNoUpstreamRetry, now), out);
+                  RetryAt(kNoUpstreamRetryDelay, now), out);
   }
   if (!held_.empty()) DispatchHeld(now, out);
   while (!queue_.IsEmpty()) {
@@ -423,12 +435,12 @@
     const auto next = queue_.Pop(any_long && LongAllowed(now));
     if (!next) break;
     entry& e = entries_.at(next->id);
-    if (!NeedsCare(e, now)) {
+    if (!HasUpstreamConstraint(e, now)) {
       Send(e, *upstream, now, out);
-    } else if (const auto careful = ChooseWithCare(e, now)) {
-      Send(e, *careful, now, out);
+    } else if (const auto allowed = ChooseWithConstraints(e, now)) {
+      Send(e, *allowed, now, out);
     } else {
-      held_.emplace(e.place.latest_start, e.request.id);
+      held_.emplace(e.queued.latest_start, e.request.id);
     }
   }
   next_change_ =
@@ -437,13 +449,14 @@
 
 void service_scheduler::Send(entry& e, const upstream_id& upstream,
                              monotonic_time now, actions& out) {
-  latest_starts_.erase({e.place.latest_start, e.request.id});
+  latest_starts_.erase({e.queued.latest_start, e.request.id});
   e.upstream = upstream;
   e.sent_at = now;
   ++e.sends;
-  e.suspect = !poison_.IsEmpty() && poison_.Of(e.request.fingerprint, now) ==
-                                        poison_registry::standing::kSuspect;
-  if (e.suspect) poison_.OnSuspectSent(e.request.fingerprint, upstream);
+  e.sent_as_suspect =
+      !poison_.IsEmpty() && poison_.Of(e.request.fingerprint, now) ==
+                                poison_registry::standing::kSuspect;
+  if (e.sent_as_suspect) poison_.OnSuspectSent(e.request.fingerprint, upstream);
   chooser_.OnSent(upstream, now);
   ++in_flight_;
   if (e.request.long_running) ++long_in_flight_;
@@ -451,36 +464,37 @@
   out.emplace_back(send_action{e.request.id, upstream});
 }
 
-// Until a short request starts that has this much short work ahead of it.
+// Returns the wait of a short request that has `cost_ahead` of short work ahead
+// of it.
 duration service_scheduler::ShortWait(duration cost_ahead, duration expected,
                                       monotonic_time now) const {
   if (cost_ahead == duration() && chooser_.FreeSlots(now) > 0) return {};
   const int usable = chooser_.UsableSlots(now);
   const int slots = std::max(1, usable - long_in_flight_);
-  // All slots are busy, so on average one becomes free after a slots-th part
-  // of the service time.
+  // All slots are busy, so on average one becomes free after the service time
+  // divided by the number of slots.
   return (cost_ahead + expected) / slots;
 }
 
-duration service_scheduler::ExpectedWait(const queued_request& place,
+duration service_scheduler::ExpectedWait(const queued_request& queued,
                                          monotonic_time now) const {
   const duration short_ahead = queue_.CostAhead(
-      place.workspace, place.weight, place.latest_start, place.cost, true);
-  const duration short_wait = ShortWait(short_ahead, place.cost, now);
-  if (!place.long_running) return short_wait;
+      queued.workspace, queued.weight, queued.latest_start, queued.cost, true);
+  const duration short_wait = ShortWait(short_ahead, queued.cost, now);
+  if (!queued.long_running) return short_wait;
   const duration all_ahead = queue_.CostAhead(
-      place.workspace, place.weight, place.latest_start, place.cost, false);
+      queued.workspace, queued.weight, queued.latest_start, queued.cost, false);
   const int usable = std::max(1, chooser_.UsableSlots(now));
   const int limit = std::max(1, guard_.LongLimit(usable, now));
   if (all_ahead == duration() && long_in_flight_ < limit) return short_wait;
   const duration long_ahead = std::max(duration(), all_ahead - short_ahead);
-  const duration by_limit = (long_ahead + place.cost) / limit;
+  const duration by_limit = (long_ahead + queued.cost) / limit;
   return std::max(by_limit, all_ahead / usable);
 }
 
 monotonic_time service_scheduler::RetryAt(duration wait, monotonic_time now) {
-  const double spread = 1 + kRetrySpread * std::ldexp(random_(), -32);
-  return now + FromSeconds(ToSeconds(std::max(wait, kShortestRetry)) * spread);
+  const double jitter = 1 + kRetryJitter * std::ldexp(random_(), -32);
+  return now + FromSeconds(ToSeconds(std::max(wait, kMinRetryDelay)) * jitter);
 }
 
 scheduler_load service_scheduler::Load(monotonic_time now) const {
--- a/tests/policy/service_scheduler_test.cc
+++ b/tests/policy/service_scheduler_test.cc
@@ -28,9 +28,9 @@
                                             Capacities(upstreams), 7);
 }
 
-simulation_result Play(const std::vector<simulated_upstream>& upstreams,
-                       const std::vector<simulated_load>& loads, duration time,
-                       duration skip = {}) {
+simulation_result Simulate(const std::vector<simulated_upstream>& upstreams,
+                           const std::vector<simulated_load>& loads,
+                           duration time, duration skip = {}) {
   std::vector<std::unique_ptr<dispatch_policy>> owners;
   owners.push_back(Scheduler(upstreams));
   zone_simulation simulation(std::move(owners), upstreams, 11);
@@ -39,30 +39,30 @@
   return simulation.Run(time, skip);
 }
 
-void CheckNobodyIsOverrun(const simulation_result& result) {
+void CheckSlotsAndDeadlines(const simulation_result& result) {
   BOOST_TEST(result.most_over_slots <= 0);
   BOOST_TEST(result.refused_after_deadline == 0);
 }
 
-double WorstPartOfFair(const simulation_result& result,
-                       const std::vector<simulated_load>& loads,
-                       double capacity, double time_s) {
-  std::map<workspace_id, std::pair<double, double>> wants;
+double WorstFractionOfFairShare(const simulation_result& result,
+                                const std::vector<simulated_load>& loads,
+                                double capacity, double time_s) {
+  std::map<workspace_id, std::pair<double, double>> demands;
   for (const auto& load : loads) {
     const auto& w = result.workspaces.at(load.workspace);
-    wants[load.workspace] = {w.offered / time_s, load.weight};
+    demands[load.workspace] = {w.offered / time_s, load.weight};
   }
   double worst = 1e9;
-  for (const auto& [id, fair] : FairParts(wants, capacity)) {
+  for (const auto& [id, fair] : FairParts(demands, capacity)) {
     worst = std::min(worst, result.workspaces.at(id).good / time_s / fair);
   }
   return worst;
 }
 
-// What a scheduler did, for tests that call it step by step.
-struct by_hand {
-  explicit by_hand(std::vector<upstream_capacity> upstreams,
-                   scheduler_options options = Options())
+// A scheduler and its clock, for tests that call the scheduler step by step.
+struct scheduler_fixture {
+  explicit scheduler_fixture(std::vector<upstream_capacity> upstreams,
+                             scheduler_options options = Options())
       : scheduler(std::move(options), 3) {
     scheduler.SetUpstreams(upstreams, now);
   }
@@ -82,12 +82,12 @@
 };
 
 template <class Action>
-std::vector<Action> Only(const service_scheduler::actions& actions) {
-  std::vector<Action> only;
+std::vector<Action> ActionsOf(const service_scheduler::actions& actions) {
+  std::vector<Action> matching;
   for (const auto& action : actions) {
-    if (const auto* a = std::get_if<Action>(&action)) only.push_back(*a);
+    if (const auto* a = std::get_if<Action>(&action)) matching.push_back(*a);
   }
-  return only;
+  return matching;
 }
 
 std::vector<upstream_capacity> Servers(int count, int slots) {
@@ -100,26 +100,26 @@
 
 }  // namespace
 
-// At dawn the yard clerks' look-ups are five times the usual for 20 s, twice
-// of what the servers carry. A clerk whose look-up waits until it is of no use
-// has a forklift stand still, and work done for it is lost to the others.
-BOOST_AUTO_TEST_CASE(DawnBurst) {
+// Load pattern: look-ups rise to five times the usual rate for 20 s, twice the
+// capacity. A look-up answered after its deadline is useless to its caller, and
+// its slot time is lost to the other callers.
+BOOST_AUTO_TEST_CASE(TrafficBurst) {
   auto loads = LookupLoads(0.4 * kCapacity, milliseconds(600));
   for (auto& load : loads) {
     load.burst_factor = 5;
     load.burst_from = seconds(10);
     load.burst_to = seconds(30);
   }
-  const auto result = Play(YardDesk(), loads, seconds(45));
-  CheckNobodyIsOverrun(result);
-  const double best = kCapacity * 20 + 0.4 * kCapacity * 25;
-  BOOST_TEST(result.Good() > 0.95 * best);
+  const auto result = Simulate(YardDesk(), loads, seconds(45));
+  CheckSlotsAndDeadlines(result);
+  const double max_good = kCapacity * 20 + 0.4 * kCapacity * 25;
+  BOOST_TEST(result.Good() > 0.95 * max_good);
   BOOST_TEST(result.sends < 1.02 * result.Good());
 }
 
-// The same burst with clerks who press the key again as soon as they are
-// refused. What the servers are given must not grow with the asking.
-BOOST_AUTO_TEST_CASE(DawnBurstWithCallersWhoAskAgain) {
+// The same burst with callers that retry soon after a refusal. The requests
+// sent to the upstreams must not grow with the retries.
+BOOST_AUTO_TEST_CASE(TrafficBurstWithRetryingCallers) {
   auto loads = LookupLoads(0.4 * kCapacity, milliseconds(2000));
   for (auto& load : loads) {
     load.burst_factor = 5;
@@ -128,82 +128,85 @@
     load.asks = 10;
     load.ask_again = milliseconds(100);
   }
-  const auto result = Play(YardDesk(), loads, seconds(45));
-  CheckNobodyIsOverrun(result);
+  const auto result = Simulate(YardDesk(), loads, seconds(45));
+  CheckSlotsAndDeadlines(result);
   BOOST_TEST(result.asked > 1.5 * result.Offered());
   BOOST_TEST(result.sends < 1.1 * result.Good());
 }
 
-// A dispatch hands an upstream to its neighbour. The requests that it turns
-// back at that moment were counted as in flight there, and the count was never
-// taken back: the neighbour left slots alone that nobody filled, and its
-// callers waited until their deadline beside an idle upstream.
-BOOST_AUTO_TEST_CASE(EachEndOfARequestIsToldInTheCount) {
-  by_hand hand(Servers(1, 2));
+// Guards against a stale in-flight count when a dispatch hands an upstream to
+// another dispatch. If requests turned back at that moment stay counted as in
+// flight, the new owner leaves free slots unused and its callers wait until
+// their deadline beside an idle upstream.
+BOOST_AUTO_TEST_CASE(EachRequestEndUpdatesTheInFlightCount) {
+  scheduler_fixture fixture(Servers(1, 2));
   const upstream_id upstream("u0");
-  std::map<upstream_id, int> told;
+  std::map<upstream_id, int> reported;
   std::map<request_id, upstream_id> sent;
-  const auto note = [&](const service_scheduler::actions& actions) {
+  const auto record = [&](const service_scheduler::actions& actions) {
     for (const scheduler_action& action : actions) {
       if (const auto* count = std::get_if<in_flight_action>(&action)) {
-        told[count->upstream] = count->count;
+        reported[count->upstream] = count->count;
       } else if (const auto* send = std::get_if<send_action>(&action)) {
-        // Before the send, so that no hand-over in between misses it.
-        BOOST_TEST(told[send->upstream] ==
-                   hand.scheduler.InFlightAt(send->upstream));
+        // The count comes before the send, so that a handover in between
+        // includes the request.
+        BOOST_TEST(reported[send->upstream] ==
+                   fixture.scheduler.InFlightAt(send->upstream));
         sent[send->id] = send->upstream;
       }
     }
   };
   for (const char* id : {"a", "b", "c"}) {
-    note(hand.scheduler.OnRequest(hand.Request(id), hand.now));
+    record(fixture.scheduler.OnRequest(fixture.Request(id), fixture.now));
   }
-  BOOST_TEST(told[upstream] == 2);
-  note(hand.scheduler.OnOutcome(request_id("a"), upstream_outcome::kAnswered,
-                                hand.now));
-  BOOST_TEST(told[upstream] == 2);
+  BOOST_TEST(reported[upstream] == 2);
+  record(fixture.scheduler.OnOutcome(request_id("a"),
+                                     upstream_outcome::kAnswered, fixture.now));
+  BOOST_TEST(reported[upstream] == 2);
   BOOST_REQUIRE(sent.contains(request_id("c")));
-  // Given away: what was about to be sent is turned back.
-  note(hand.scheduler.OnOutcome(request_id("c"),
-                                upstream_outcome::kLeavingNotRun, hand.now));
-  BOOST_TEST(told[upstream] == 1);
-  note(hand.scheduler.OnCancel(request_id("b"), hand.now));
-  note(hand.scheduler.OnOutcome(request_id("b"), upstream_outcome::kCancelled,
-                                hand.now));
-  BOOST_TEST(told[upstream] == 0);
+  // The upstream is handed over: a request about to be sent is turned back.
+  record(fixture.scheduler.OnOutcome(
+      request_id("c"), upstream_outcome::kLeavingNotRun, fixture.now));
+  BOOST_TEST(reported[upstream] == 1);
+  record(fixture.scheduler.OnCancel(request_id("b"), fixture.now));
+  record(fixture.scheduler.OnOutcome(
+      request_id("b"), upstream_outcome::kCancelled, fixture.now));
+  BOOST_TEST(reported[upstream] == 0);
 }
 
-// Offered three times of what the servers carry. Without a refusal on arrival
-// each request waits until it is too late, and hardly one is answered in time.
+// Load pattern: up to three times the capacity is offered. Without rejection on
+// arrival each request waits until it is too late, and hardly any is answered
+// in time.
 BOOST_AUTO_TEST_CASE(Saturation) {
   for (const double load_factor : {1.5, 3.0}) {
     const auto loads = LookupLoads(load_factor * kCapacity, milliseconds(500));
-    const auto result = Play(YardDesk(), loads, seconds(40), seconds(5));
-    CheckNobodyIsOverrun(result);
+    const auto result = Simulate(YardDesk(), loads, seconds(40), seconds(5));
+    CheckSlotsAndDeadlines(result);
     BOOST_TEST(result.Good() > 0.95 * kCapacity * 35);
-    BOOST_TEST(WorstPartOfFair(result, loads, kCapacity, 35) > 0.8);
+    BOOST_TEST(WorstFractionOfFairShare(result, loads, kCapacity, 35) > 0.8);
   }
 }
 
-// One workspace sends ten times its part. The others must not notice.
-BOOST_AUTO_TEST_CASE(OneWorkspaceTakesMostOfTheLoad) {
+// One workspace sends at 20 times its usual rate. The other workspaces must not
+// be affected.
+BOOST_AUTO_TEST_CASE(OneWorkspaceOffersMoreThanItsShare) {
   auto loads = LookupLoads(0.9 * kCapacity, milliseconds(500));
   loads.back().rate_per_s *= 20;
-  const auto result = Play(YardDesk(), loads, seconds(40), seconds(5));
-  CheckNobodyIsOverrun(result);
-  BOOST_TEST(WorstPartOfFair(result, loads, kCapacity, 35) > 0.8);
+  const auto result = Simulate(YardDesk(), loads, seconds(40), seconds(5));
+  CheckSlotsAndDeadlines(result);
+  BOOST_TEST(WorstFractionOfFairShare(result, loads, kCapacity, 35) > 0.8);
   for (std::size_t i = 0; i + 1 < loads.size(); ++i) {
     const auto& w = result.workspaces.at(loads[i].workspace);
     BOOST_TEST(w.good > 0.97 * w.offered);
   }
 }
 
-// Monthly reports of seconds come in among look-ups of milliseconds, more of
-// them than there are slots. If they may take every slot, each look-up waits
-// for the end of a report.
+// Load pattern: reports that take seconds among look-ups that take
+// milliseconds, with more reports than slots. If reports may take every slot,
+// each look-up waits for the end of a report.
 BOOST_AUTO_TEST_CASE(LongReportsAmongShortLookups) {
   const auto lookups = LookupLoads(0.35 * kCapacity, seconds(1));
-  const auto alone = Play(YardDesk(), lookups, seconds(60), seconds(10));
+  const auto alone = Simulate(YardDesk(), lookups, seconds(60), seconds(10));
   auto loads = lookups;
   simulated_load reports;
   reports.workspace = workspace_id("office");
@@ -214,289 +217,306 @@
   reports.patience = seconds(30);
   reports.rate_per_s = 4;
   loads.push_back(reports);
-  const auto mixed = Play(YardDesk(), loads, seconds(60), seconds(10));
-  CheckNobodyIsOverrun(mixed);
+  const auto mixed = Simulate(YardDesk(), loads, seconds(60), seconds(10));
+  CheckSlotsAndDeadlines(mixed);
   const double p99_alone = Percentile(alone.latency_ms.at("lookup"), 0.99);
   const double p99_mixed = Percentile(mixed.latency_ms.at("lookup"), 0.99);
   BOOST_TEST(p99_mixed < 2 * p99_alone);
-  // The reports still get most of what the look-ups leave.
-  const double left = 16 - 0.35 * 16;
-  BOOST_TEST(mixed.workspaces.at(reports.workspace).good > 0.4 * left / 4 * 50);
+  // The reports still get more than 0.4 of the slot time left by the look-ups.
+  const double slots_left = 16 - 0.35 * 16;
+  BOOST_TEST(mixed.workspaces.at(reports.workspace).good >
+             0.4 * slots_left / 4 * 50);
 }
 
-// One server of four takes ten times as long as the others. Callers whose
-// look-ups land there get them late, and its slots hold back the queue.
+// One server of four takes ten times as long as the others. Look-ups sent there
+// are answered late, and its occupied slots delay the queue.
 BOOST_AUTO_TEST_CASE(OneSlowUpstream) {
   auto upstreams = YardDesk();
   upstreams[1].slowness = 10;
   const auto loads = LookupLoads(0.6 * kCapacity, milliseconds(600));
-  const auto result = Play(upstreams, loads, seconds(40), seconds(5));
-  CheckNobodyIsOverrun(result);
+  const auto result = Simulate(upstreams, loads, seconds(40), seconds(5));
+  CheckSlotsAndDeadlines(result);
   BOOST_TEST(result.Good() > 0.97 * result.Offered());
   BOOST_TEST(Percentile(result.latency_ms.at("lookup"), 0.95) < 200);
 }
 
-// One server answers an error to everything at once. It always has slots free,
-// so it would draw most of the requests, and most callers would get errors.
+// One server answers every request with an error at once. Its slots are always
+// free, so it would attract most requests, and most callers would get errors.
 BOOST_AUTO_TEST_CASE(OneUpstreamAnswersErrorsFast) {
   auto upstreams = YardDesk();
   upstreams[2].fails_fast = true;
   const auto loads = LookupLoads(0.6 * kCapacity, milliseconds(600));
-  const auto result = Play(upstreams, loads, seconds(40));
+  const auto result = Simulate(upstreams, loads, seconds(40));
   BOOST_TEST(result.Good() > 0.99 * result.Offered());
 }
 
-// One server says that it is well and idle while it answers errors. Whoever
-// believes it sends it everything.
-BOOST_AUTO_TEST_CASE(OneUpstreamSaysItIsWellWhileItFails) {
+// One server reports itself as healthy and idle while it answers with errors. A
+// scheduler that relies on the report sends it every request.
+BOOST_AUTO_TEST_CASE(OneUpstreamReportsHealthyWhileItFails) {
   auto upstreams = YardDesk();
   upstreams[2].fails_fast = true;
   upstreams[2].says_idle = true;
   const auto loads = LookupLoads(0.6 * kCapacity, milliseconds(600));
-  const auto result = Play(upstreams, loads, seconds(40));
+  const auto result = Simulate(upstreams, loads, seconds(40));
   BOOST_TEST(result.Good() > 0.99 * result.Offered());
 }
 
-// One server's slots are filled by work from elsewhere, and it says that it is
-// idle. Requests sent there come back unrun and must not be lost for it.
-BOOST_AUTO_TEST_CASE(OneUpstreamSaysItIsIdleWhileItIsFull) {
+// One server's slots are filled by other callers, and the server reports itself
+// as idle. Requests sent there come back unrun and must not be lost.
+BOOST_AUTO_TEST_CASE(OneUpstreamReportsIdleWhileItIsFull) {
   auto upstreams = YardDesk();
   upstreams[0].foreign_work = 4;
   upstreams[0].says_idle = true;
   const auto loads = LookupLoads(0.6 * kCapacity, milliseconds(600));
-  const auto result = Play(upstreams, loads, seconds(40));
+  const auto result = Simulate(upstreams, loads, seconds(40));
   BOOST_TEST(result.Good() > 0.99 * result.Offered());
   BOOST_TEST(result.sheds < 0.02 * result.sends);
 }
 
-// One request crashes each server that runs it, and its caller sends it again
-// and again. At most two servers may die of it, and nobody else's request may
-// be refused for it.
+// A poison request crashes each server that runs it, and its caller keeps
+// sending it. It may crash at most two servers, and no other caller's request
+// may be refused as poison.
 BOOST_AUTO_TEST_CASE(OneRequestCrashesEachUpstream) {
   for (const bool idempotent : {true, false}) {
     auto loads = LookupLoads(0.4 * kCapacity, seconds(2));
-    simulated_load killer = loads.back();
-    killer.workspace = workspace_id("killer");
-    killer.crashes = true;
-    killer.idempotent = idempotent;
-    killer.rate_per_s = 0.5;
-    loads.push_back(killer);
-    const auto result = Play(YardDesk(), loads, seconds(40));
+    simulated_load poison_request = loads.back();
+    poison_request.workspace = workspace_id("killer");
+    poison_request.crashes = true;
+    poison_request.idempotent = idempotent;
+    poison_request.rate_per_s = 0.5;
+    loads.push_back(poison_request);
+    const auto result = Simulate(YardDesk(), loads, seconds(40));
     BOOST_TEST(result.crashes == 2);
-    BOOST_TEST(result.workspaces.at(killer.workspace).good == 0);
-    const int killers = result.workspaces.at(killer.workspace).refused;
+    BOOST_TEST(result.workspaces.at(poison_request.workspace).good == 0);
+    const int poison_refusals =
+        result.workspaces.at(poison_request.workspace).refused;
     const auto poison = result.refusals.find(refusal_reason::kPoison);
     BOOST_TEST_REQUIRE((poison != result.refusals.end()));
-    BOOST_TEST(poison->second == killers);
+    BOOST_TEST(poison->second == poison_refusals);
   }
 }
 
-// A request that kills and one that many callers send were in flight at a crash
-// elsewhere; a copy of the second was sent here before that was known. The
-// killer comes here and crashes the upstream under that copy. If both were
-// convicted, all who send the innocent one would be refused for a minute.
-BOOST_AUTO_TEST_CASE(CopySentBeforeTheSuspicionIsNotConvicted) {
-  for (const bool killer_first : {true, false}) {
-    by_hand h(Servers(1, 4));
-    const scheduler_request common = h.Request("common");
-    const auto sent = Only<send_action>(h.scheduler.OnRequest(common, h.now));
+// A poison request and a request common to many callers were in flight at a
+// crash elsewhere. A duplicate of the common request was sent here before that
+// was known; then the poison request crashes the upstream that runs it. If both
+// were convicted, all callers of the common request would be refused for a
+// minute.
+BOOST_AUTO_TEST_CASE(DuplicateSentBeforeTheSuspicionIsNotConvicted) {
+  for (const bool poison_first : {true, false}) {
+    scheduler_fixture fixture(Servers(1, 4));
+    const scheduler_request common = fixture.Request("common");
+    const auto sent = ActionsOf<send_action>(
+        fixture.scheduler.OnRequest(common, fixture.now));
     BOOST_TEST_REQUIRE(sent.size() == 1u);
-    scheduler_request killer = h.Request("killer");
-    killer.idempotent = false;
-    const upstream_crash elsewhere{upstream_id("elsewhere"), h.now};
-    for (const auto& suspect : {common, killer}) {
-      h.scheduler.OnSuspect(suspect.fingerprint, elsewhere, h.now);
+    scheduler_request poison_request = fixture.Request("killer");
+    poison_request.idempotent = false;
+    const upstream_crash elsewhere{upstream_id("elsewhere"), fixture.now};
+    for (const auto& suspect : {common, poison_request}) {
+      fixture.scheduler.OnSuspect(suspect.fingerprint, elsewhere, fixture.now);
     }
-    h.now += milliseconds(1);
-    BOOST_TEST(Only<send_action>(h.scheduler.OnRequest(killer, h.now)).size() ==
-               1u);
-    h.now += milliseconds(1);
-    std::vector<request_id> lost = {killer.id, common.id};
-    if (!killer_first) std::swap(lost[0], lost[1]);
+    fixture.now += milliseconds(1);
+    BOOST_TEST(ActionsOf<send_action>(
+                   fixture.scheduler.OnRequest(poison_request, fixture.now))
+                   .size() == 1u);
+    fixture.now += milliseconds(1);
+    std::vector<request_id> lost = {poison_request.id, common.id};
+    if (!poison_first) std::swap(lost[0], lost[1]);
     std::vector<poison_action> convicted;
     for (const request_id& id : lost) {
-      const auto actions =
-          h.scheduler.OnOutcome(id, upstream_outcome::kConnectionLost, h.now);
-      // Other owners would take it for a second crash of the innocent one.
-      BOOST_TEST(Only<suspect_action>(actions).empty());
-      for (const auto& c : Only<poison_action>(actions)) convicted.push_back(c);
+      const auto actions = fixture.scheduler.OnOutcome(
+          id, upstream_outcome::kConnectionLost, fixture.now);
+      // Other owners would count this as a second crash of the common request.
+      BOOST_TEST(ActionsOf<suspect_action>(actions).empty());
+      for (const auto& c : ActionsOf<poison_action>(actions))
+        convicted.push_back(c);
     }
     BOOST_TEST_REQUIRE(convicted.size() == 1u);
-    BOOST_TEST(convicted[0].fingerprint == killer.fingerprint);
+    BOOST_TEST(convicted[0].fingerprint == poison_request.fingerprint);
   }
 }
 
-// Two copies of the killer are on their way to two zones when the first one
-// crashes its upstream. The word of it comes before the second crash. Were that
-// one not counted, a third upstream would die of the next copy.
-BOOST_AUTO_TEST_CASE(SecondCopyOnItsWayCountsWhereItIsTheOnlySuspect) {
-  by_hand h(Servers(1, 4));
-  const scheduler_request killer = h.Request("killer");
-  const scheduler_request other = h.Request("other");
-  h.scheduler.OnRequest(killer, h.now);
-  h.scheduler.OnRequest(other, h.now);
-  h.scheduler.OnSuspect(killer.fingerprint, {upstream_id("elsewhere"), h.now},
-                        h.now);
-  h.now += milliseconds(1);
+// Two duplicates of a poison request are in flight in two zones when the first
+// one crashes its upstream. The report of that crash arrives before the second
+// crash. If the second crash didn't count, the next duplicate would crash a
+// third upstream.
+BOOST_AUTO_TEST_CASE(DuplicateInFlightIsConvictedWhereItIsTheOnlySuspect) {
+  scheduler_fixture fixture(Servers(1, 4));
+  const scheduler_request poison_request = fixture.Request("killer");
+  const scheduler_request other = fixture.Request("other");
+  fixture.scheduler.OnRequest(poison_request, fixture.now);
+  fixture.scheduler.OnRequest(other, fixture.now);
+  fixture.scheduler.OnSuspect(poison_request.fingerprint,
+                              {upstream_id("elsewhere"), fixture.now},
+                              fixture.now);
+  fixture.now += milliseconds(1);
   std::vector<poison_action> convicted;
-  for (const request_id& id : {other.id, killer.id}) {
-    for (const auto& c : Only<poison_action>(h.scheduler.OnOutcome(
-             id, upstream_outcome::kConnectionLost, h.now))) {
+  for (const request_id& id : {other.id, poison_request.id}) {
+    for (const auto& c : ActionsOf<poison_action>(fixture.scheduler.OnOutcome(
+             id, upstream_outcome::kConnectionLost, fixture.now))) {
       convicted.push_back(c);
     }
   }
   BOOST_TEST_REQUIRE(convicted.size() == 1u);
-  BOOST_TEST(convicted[0].fingerprint == killer.fingerprint);
+  BOOST_TEST(convicted[0].fingerprint == poison_request.fingerprint);
 }
 
 // Guards against a request that waits until its deadline at an owner that is
 // leaving and has given its upstreams to others.
-BOOST_AUTO_TEST_CASE(QueueOfALeavingOwnerIsRefusedAtOnce) {
-  by_hand h(Servers(1, 1));
-  const scheduler_request running = h.Request("running");
-  const scheduler_request waiting = h.Request("waiting");
-  h.scheduler.OnRequest(running, h.now);
-  h.scheduler.OnRequest(waiting, h.now);
-  h.scheduler.SetUpstreams({}, h.now);
-  const auto refused = Only<refuse_action>(h.scheduler.Close(h.now));
+BOOST_AUTO_TEST_CASE(LeavingOwnerRefusesItsQueueAtOnce) {
+  scheduler_fixture fixture(Servers(1, 1));
+  const scheduler_request running = fixture.Request("running");
+  const scheduler_request waiting = fixture.Request("waiting");
+  fixture.scheduler.OnRequest(running, fixture.now);
+  fixture.scheduler.OnRequest(waiting, fixture.now);
+  fixture.scheduler.SetUpstreams({}, fixture.now);
+  const auto refused =
+      ActionsOf<refuse_action>(fixture.scheduler.Close(fixture.now));
   BOOST_TEST_REQUIRE(refused.size() == 1u);
   BOOST_TEST((refused[0].id == waiting.id));
   BOOST_TEST((refused[0].reason == refusal_reason::kDraining));
-  // One that its upstream turned back has no other place here either.
-  const auto turned_back = Only<refuse_action>(h.scheduler.OnOutcome(
-      running.id, upstream_outcome::kLeavingNotRun, h.now));
+  // A request that its upstream turned back has no other upstream here either.
+  const auto turned_back = ActionsOf<refuse_action>(fixture.scheduler.OnOutcome(
+      running.id, upstream_outcome::kLeavingNotRun, fixture.now));
   BOOST_TEST_REQUIRE(turned_back.size() == 1u);
   BOOST_TEST((turned_back[0].id == running.id));
 }
 
-// Guards against a request of many callers that is refused as poison: it is a
-// suspect of a crash elsewhere, and the killer, of which nothing is known here,
-// crashes the upstream beside it.
-BOOST_AUTO_TEST_CASE(SuspectThatWasAnsweredIsNotConvictedBesideTheKiller) {
-  by_hand h(Servers(1, 4));
-  scheduler_request common = h.Request("common");
-  h.scheduler.OnRequest(common, h.now);
-  h.scheduler.OnOutcome(common.id, upstream_outcome::kAnswered, h.now);
-  h.scheduler.OnSuspect(common.fingerprint, {upstream_id("elsewhere"), h.now},
-                        h.now);
+// Guards against refusing a request common to many callers as poison: the
+// request is a suspect of a crash elsewhere, and a poison request that is
+// unknown here crashes the upstream that runs both.
+BOOST_AUTO_TEST_CASE(AnsweredSuspectIsNotConvictedBesideAPoisonRequest) {
+  scheduler_fixture fixture(Servers(1, 4));
+  scheduler_request common = fixture.Request("common");
+  fixture.scheduler.OnRequest(common, fixture.now);
+  fixture.scheduler.OnOutcome(common.id, upstream_outcome::kAnswered,
+                              fixture.now);
+  fixture.scheduler.OnSuspect(
+      common.fingerprint, {upstream_id("elsewhere"), fixture.now}, fixture.now);
   common.id = request_id("common again");
-  const scheduler_request killer = h.Request("killer");
-  h.scheduler.OnRequest(common, h.now);
-  h.scheduler.OnRequest(killer, h.now);
-  h.now += milliseconds(1);
-  for (const request_id& id : {common.id, killer.id}) {
-    const auto actions =
-        h.scheduler.OnOutcome(id, upstream_outcome::kConnectionLost, h.now);
-    BOOST_TEST(Only<poison_action>(actions).empty());
+  const scheduler_request poison_request = fixture.Request("killer");
+  fixture.scheduler.OnRequest(common, fixture.now);
+  fixture.scheduler.OnRequest(poison_request, fixture.now);
+  fixture.now += milliseconds(1);
+  for (const request_id& id : {common.id, poison_request.id}) {
+    const auto actions = fixture.scheduler.OnOutcome(
+        id, upstream_outcome::kConnectionLost, fixture.now);
+    BOOST_TEST(ActionsOf<poison_action>(actions).empty());
   }
 }
 
-// Guards against a third crash: a copy crashed an upstream here before the word
-// of a crash elsewhere came.
-BOOST_AUTO_TEST_CASE(WordOfAnEarlierCrashConvictsAfterACrashHere) {
-  by_hand h(Servers(2, 4));
-  scheduler_request killer = h.Request("killer");
-  killer.idempotent = false;
-  h.scheduler.OnRequest(killer, h.now);
-  h.scheduler.OnOutcome(killer.id, upstream_outcome::kConnectionLost, h.now);
-  h.scheduler.OnSuspect(killer.fingerprint, {upstream_id("elsewhere"), h.now},
-                        h.now);
-  killer.id = request_id("killer again");
-  const auto refused =
-      Only<refuse_action>(h.scheduler.OnRequest(killer, h.now));
+// Guards against a third crash: a poison request crashed an upstream here
+// before the report of a crash elsewhere arrived.
+BOOST_AUTO_TEST_CASE(ReportOfAnEarlierCrashConvictsAfterALocalCrash) {
+  scheduler_fixture fixture(Servers(2, 4));
+  scheduler_request poison_request = fixture.Request("killer");
+  poison_request.idempotent = false;
+  fixture.scheduler.OnRequest(poison_request, fixture.now);
+  fixture.scheduler.OnOutcome(poison_request.id,
+                              upstream_outcome::kConnectionLost, fixture.now);
+  fixture.scheduler.OnSuspect(poison_request.fingerprint,
+                              {upstream_id("elsewhere"), fixture.now},
+                              fixture.now);
+  poison_request.id = request_id("killer again");
+  const auto refused = ActionsOf<refuse_action>(
+      fixture.scheduler.OnRequest(poison_request, fixture.now));
   BOOST_TEST_REQUIRE(refused.size() == 1u);
   BOOST_TEST((refused[0].reason == refusal_reason::kPoison));
 }
 
-BOOST_AUTO_TEST_CASE(RefusesOnArrivalWhatCantEndInTime) {
-  by_hand h(Servers(1, 1));
-  scheduler_request first = h.Request("first");
-  BOOST_TEST(Only<send_action>(h.scheduler.OnRequest(first, h.now)).size() ==
-             1u);
-  scheduler_request hasty = h.Request("hasty");
-  hasty.deadline = h.now + milliseconds(50);
-  const auto refused = Only<refuse_action>(h.scheduler.OnRequest(hasty, h.now));
+BOOST_AUTO_TEST_CASE(RefusesOnArrivalIfItCannotEndInTime) {
+  scheduler_fixture fixture(Servers(1, 1));
+  scheduler_request first = fixture.Request("first");
+  BOOST_TEST(
+      ActionsOf<send_action>(fixture.scheduler.OnRequest(first, fixture.now))
+          .size() == 1u);
+  scheduler_request urgent = fixture.Request("hasty");
+  urgent.deadline = fixture.now + milliseconds(50);
+  const auto refused = ActionsOf<refuse_action>(
+      fixture.scheduler.OnRequest(urgent, fixture.now));
   BOOST_TEST_REQUIRE(refused.size() == 1u);
   BOOST_TEST((refused[0].reason == refusal_reason::kWouldMissDeadline));
-  BOOST_TEST((refused[0].retry_at > h.now));
+  BOOST_TEST((refused[0].retry_at > fixture.now));
 }
 
-// A request waits behind one that takes far longer than expected. Its caller
-// must hear at once when it can't be done in time any more.
-BOOST_AUTO_TEST_CASE(GivesUpAtOnceByTimer) {
-  by_hand h(Servers(1, 1));
-  h.scheduler.OnRequest(h.Request("first"), h.now);
-  const scheduler_request second = h.Request("second");
-  BOOST_TEST(h.scheduler.OnRequest(second, h.now).empty());
-  const auto timer = h.scheduler.NextTimer();
+// A request waits behind another that takes far longer than expected. The
+// waiting request must be refused as soon as it can't finish in time.
+BOOST_AUTO_TEST_CASE(TimerRefusesARequestThatCannotEndInTime) {
+  scheduler_fixture fixture(Servers(1, 1));
+  fixture.scheduler.OnRequest(fixture.Request("first"), fixture.now);
+  const scheduler_request second = fixture.Request("second");
+  BOOST_TEST(fixture.scheduler.OnRequest(second, fixture.now).empty());
+  const auto timer = fixture.scheduler.NextTimer();
   BOOST_TEST_REQUIRE(timer.has_value());
   BOOST_TEST((*timer < second.deadline));
-  const auto refused = Only<refuse_action>(h.scheduler.OnTimer(*timer));
+  const auto refused =
+      ActionsOf<refuse_action>(fixture.scheduler.OnTimer(*timer));
   BOOST_TEST_REQUIRE(refused.size() == 1u);
   BOOST_TEST((refused[0].reason == refusal_reason::kExpiredInQueue));
-  BOOST_TEST(!h.scheduler.NextTimer().has_value());
+  BOOST_TEST(!fixture.scheduler.NextTimer().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(SendsAgainElsewhereAfterShedding) {
-  by_hand h(Servers(2, 1));
-  scheduler_request booking = h.Request("booking");
+BOOST_AUTO_TEST_CASE(ResendsToAnotherUpstreamAfterShedding) {
+  scheduler_fixture fixture(Servers(2, 1));
+  scheduler_request booking = fixture.Request("booking");
   booking.idempotent = false;
-  const auto first = Only<send_action>(h.scheduler.OnRequest(booking, h.now));
-  const auto second = Only<send_action>(
-      h.scheduler.OnOutcome(booking.id, upstream_outcome::kShedNotRun, h.now));
+  const auto first =
+      ActionsOf<send_action>(fixture.scheduler.OnRequest(booking, fixture.now));
+  const auto second = ActionsOf<send_action>(fixture.scheduler.OnOutcome(
+      booking.id, upstream_outcome::kShedNotRun, fixture.now));
   BOOST_TEST_REQUIRE(second.size() == 1u);
   BOOST_TEST((second[0].upstream != first[0].upstream));
-  const auto third =
-      h.scheduler.OnOutcome(booking.id, upstream_outcome::kShedNotRun, h.now);
-  BOOST_TEST(Only<refuse_action>(third).size() == 1u);
+  const auto third = fixture.scheduler.OnOutcome(
+      booking.id, upstream_outcome::kShedNotRun, fixture.now);
+  BOOST_TEST(ActionsOf<refuse_action>(third).size() == 1u);
 }
 
-// A connection breaks after a booking was sent. It may have been booked, so
-// sending it again could send two trucks out.
-BOOST_AUTO_TEST_CASE(NeverSendsABookingAgainThatMayHaveRun) {
-  by_hand h(Servers(2, 1));
-  scheduler_request booking = h.Request("booking");
+// A connection breaks after a booking was sent. The booking may have run, so
+// sending it again could book twice.
+BOOST_AUTO_TEST_CASE(NeverResendsABookingThatMayHaveRun) {
+  scheduler_fixture fixture(Servers(2, 1));
+  scheduler_request booking = fixture.Request("booking");
   booking.idempotent = false;
-  h.scheduler.OnRequest(booking, h.now);
-  const auto actions = h.scheduler.OnOutcome(
-      booking.id, upstream_outcome::kConnectionLost, h.now);
-  BOOST_TEST(Only<send_action>(actions).empty());
-  BOOST_TEST(Only<refuse_action>(actions).empty());
-  scheduler_request look_up = h.Request("look-up");
-  h.scheduler.OnRequest(look_up, h.now);
-  const auto again = h.scheduler.OnOutcome(
-      look_up.id, upstream_outcome::kConnectionLost, h.now);
-  BOOST_TEST(Only<send_action>(again).size() == 1u);
+  fixture.scheduler.OnRequest(booking, fixture.now);
+  const auto actions = fixture.scheduler.OnOutcome(
+      booking.id, upstream_outcome::kConnectionLost, fixture.now);
+  BOOST_TEST(ActionsOf<send_action>(actions).empty());
+  BOOST_TEST(ActionsOf<refuse_action>(actions).empty());
+  scheduler_request lookup = fixture.Request("look-up");
+  fixture.scheduler.OnRequest(lookup, fixture.now);
+  const auto again = fixture.scheduler.OnOutcome(
+      lookup.id, upstream_outcome::kConnectionLost, fixture.now);
+  BOOST_TEST(ActionsOf<send_action>(again).size() == 1u);
 }
 
-// Nothing is left after a caller has gone: neither a place in the queue, nor,
-// once its outcome is in, a slot.
+// A cancelled request leaves nothing behind: no place in the queue and, after
+// its outcome, no slot.
 BOOST_AUTO_TEST_CASE(CancelFreesPlaceAndSlot) {
-  by_hand h(Servers(1, 1));
-  h.scheduler.OnRequest(h.Request("a"), h.now);
-  h.scheduler.OnRequest(h.Request("b"), h.now);
-  h.scheduler.OnRequest(h.Request("c"), h.now);
-  h.scheduler.OnCancel(request_id("b"), h.now);
-  h.scheduler.OnCancel(request_id("a"), h.now);
-  BOOST_TEST(h.scheduler.Load(h.now).in_flight == 1);
-  const auto next = Only<send_action>(h.scheduler.OnOutcome(
-      request_id("a"), upstream_outcome::kCancelled, h.now));
+  scheduler_fixture fixture(Servers(1, 1));
+  fixture.scheduler.OnRequest(fixture.Request("a"), fixture.now);
+  fixture.scheduler.OnRequest(fixture.Request("b"), fixture.now);
+  fixture.scheduler.OnRequest(fixture.Request("c"), fixture.now);
+  fixture.scheduler.OnCancel(request_id("b"), fixture.now);
+  fixture.scheduler.OnCancel(request_id("a"), fixture.now);
+  BOOST_TEST(fixture.scheduler.Load(fixture.now).in_flight == 1);
+  const auto next = ActionsOf<send_action>(fixture.scheduler.OnOutcome(
+      request_id("a"), upstream_outcome::kCancelled, fixture.now));
   BOOST_TEST_REQUIRE(next.size() == 1u);
   BOOST_TEST(next[0].id.Str() == "c");
 }
 
-// An upstream goes to another owner while work is in flight there.
+// An upstream moves to another owner while a request is in flight there.
 BOOST_AUTO_TEST_CASE(LostUpstreamGetsNothingNewAndStaysCounted) {
-  by_hand h(Servers(1, 2));
-  h.scheduler.OnRequest(h.Request("a"), h.now);
-  h.scheduler.SetUpstreams({}, h.now);
-  BOOST_TEST(h.scheduler.InFlightAt(upstream_id("u0")) == 1);
-  const auto refused =
-      Only<refuse_action>(h.scheduler.OnRequest(h.Request("b"), h.now));
+  scheduler_fixture fixture(Servers(1, 2));
+  fixture.scheduler.OnRequest(fixture.Request("a"), fixture.now);
+  fixture.scheduler.SetUpstreams({}, fixture.now);
+  BOOST_TEST(fixture.scheduler.InFlightAt(upstream_id("u0")) == 1);
+  const auto refused = ActionsOf<refuse_action>(
+      fixture.scheduler.OnRequest(fixture.Request("b"), fixture.now));
   BOOST_TEST_REQUIRE(refused.size() == 1u);
   BOOST_TEST((refused[0].reason == refusal_reason::kNoUpstream));
-  h.scheduler.OnOutcome(request_id("a"), upstream_outcome::kAnswered, h.now);
-  BOOST_TEST(h.scheduler.Load(h.now).in_flight == 0);
+  fixture.scheduler.OnOutcome(request_id("a"), upstream_outcome::kAnswered,
+                              fixture.now);
+  BOOST_TEST(fixture.scheduler.Load(fixture.now).in_flight == 0);
 }
 
 }  // namespace citron
