--- a/include/citron/policy/class_estimator.h
+++ b/include/citron/policy/class_estimator.h
@@ -8,36 +8,36 @@
 
 namespace citron {
 
-// Learns how long each request class keeps a slot.
+// Estimates how long the requests of each class occupy a slot.
 class class_estimator {
  public:
-  class_estimator(std::map<std::string, duration> first_guesses,
-                  duration default_guess);
+  class_estimator(std::map<std::string, duration> initial_means,
+                  duration default_mean);
 
-  void OnServed(const std::string& request_class, duration taken,
+  void OnServed(const std::string& request_class, duration service_time,
                 monotonic_time now);
 
   duration Mean(const std::string& request_class, monotonic_time now) const;
-  // Mean distance from the mean.
+  // Returns the mean absolute deviation from the mean.
   duration Deviation(const std::string& request_class) const;
-  // Over the requests of all classes, as they came.
+  // Returns the moving mean over all requests, regardless of class.
   duration OverallMean() const;
 
  private:
   struct estimate {
     double mean_s = 0;
     double deviation_s = 0;
-    double guess_s = 0;
+    double initial_mean_s = 0;
     int samples = 0;
-    monotonic_time learned_at;
+    monotonic_time updated_at;
   };
 
-  estimate First(const std::string& request_class) const;
+  estimate InitialEstimate(const std::string& request_class) const;
 
-  std::map<std::string, duration> first_guesses_;
-  duration default_guess_;
+  std::map<std::string, duration> initial_means_;
+  duration default_mean_;
   std::map<std::string, estimate> estimates_;
-  double overall_s_;
+  double overall_mean_s_;
 };
 
 }  // namespace citron
--- a/tests/policy/class_estimator_test.cc
+++ b/tests/policy/class_estimator_test.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(GuessesThenLearnsEachClass) {
+BOOST_AUTO_TEST_CASE(StartsFromInitialMeansThenLearnsEachClass) {
   class_estimator estimator = Estimator();
   BOOST_TEST((estimator.Mean("report", kNow) == seconds(4)));
   BOOST_TEST((estimator.Mean("lookup", kNow) == milliseconds(50)));
@@ -29,9 +29,10 @@
   BOOST_TEST(ToMilliseconds(estimator.Deviation("lookup")) < 3);
 }
 
-// A slow spell raises the mean until every request of the class is refused, so
-// no answer comes that could lower it. It must come down by itself.
-BOOST_AUTO_TEST_CASE(AHighMeanFallsBackWithoutAnswers) {
+// Guards against a class that stays refused: a slow period raises the mean
+// until every request of the class is refused, so no answer can lower the mean.
+// The mean must decay without answers.
+BOOST_AUTO_TEST_CASE(HighMeanDecaysWithoutAnswers) {
   class_estimator estimator = Estimator();
   for (int i = 0; i < 50; ++i) estimator.OnServed("lookup", seconds(9), kNow);
   BOOST_TEST(ToSeconds(estimator.Mean("lookup", kNow)) > 8);
