--- a/include/citron/policy/retry_budget.h
+++ b/include/citron/policy/retry_budget.h
@@ -3,18 +3,19 @@
 
 namespace citron {
 
-// Holds retries to a part of the traffic.
+// Limits retries to a fraction of the traffic.
 class retry_budget {
  public:
-  // `share` retries for each request; at most `kept` retries are saved up.
-  explicit retry_budget(double share, double kept = 10);
+  // Allows `share` retries for each request and saves up at most `max_saved`
+  // retries.
+  explicit retry_budget(double share, double max_saved = 10);
 
   void OnRequest();
   bool TryTake();
 
  private:
   double share_;
-  double kept_;
+  double max_saved_;
   double tokens_;
 };
 
--- a/include/citron/policy/slot_guard.h
+++ b/include/citron/policy/slot_guard.h
@@ -5,24 +5,26 @@
 
 namespace citron {
 
-// Keeps slots free of long work, so that short work need not wait for its end.
+// Reserves slots for short requests, so that they don't wait for long requests
+// to end.
 class slot_guard {
  public:
-  // `reserve` is the part of the slots kept in any case, 0 to 1.
+  // `reserve` is the fraction of the slots that is always reserved, 0 to 1.
   explicit slot_guard(double reserve);
 
-  // A short request arrived that will keep a slot for about `expected`.
+  // Records the arrival of a short request that will occupy a slot for about
+  // `expected`.
   void OnShortArrival(duration expected, monotonic_time now);
 
-  // How many of the slots long work may hold at once.
+  // Returns how many of the usable slots long requests may hold at once.
   int LongLimit(int usable_slots, monotonic_time now) const;
 
  private:
   double ShortLoad(monotonic_time now) const;
 
   double reserve_;
-  double slot_seconds_ = 0;  // Of short work, decayed.
-  monotonic_time counted_at_;
+  double short_slot_seconds_ = 0;  // Demand of short requests, decayed.
+  monotonic_time updated_at_;
 };
 
 }  // namespace citron
--- a/src/policy/slot_guard.cc
+++ b/src/policy/slot_guard.cc
@@ -6,27 +6,27 @@
 namespace citron {
 namespace {
 
-// Answers: long reports among short look-ups. Twelve reports on twelve slots
-// stop every look-up in the zone for seconds, however short the queue is; one
-// notices by look-ups whose p99 is the service time of a report. So long work
-// may not take the last slots.
+// Load pattern: long reports among short look-ups. Twelve reports on twelve
+// slots stop every look-up in the zone for seconds, however short the queue is,
+// and the p99 of look-ups becomes the service time of a report. Long requests
+// therefore may not take the last slots.
 //
-// A fixed part alone is wrong both ways: too small, look-ups wait at dawn; too
-// large, slots stand idle all afternoon. So the part kept is the larger of the
-// configured one and what short work needs at present: its load in slots, by
-// Little's law, and the square root of that for its swings. Twice the square
-// root left the look-ups' p99 the same and took a third of their work from the
-// reports.
-constexpr double kSwing = 1.0;
-
-// A flood of short work must not shut long work out for good: this is the most
-// that is kept by measured load. Which workspace gets the rest is the queue's
-// decision.
-constexpr double kLargestReserve = 0.75;
-
-// Long enough that the load's noise doesn't move the limit, short enough that
-// a burst at dawn has its slots after a few look-ups' time.
-constexpr duration kMemory = std::chrono::seconds(2);
+// A fixed fraction alone is wrong both ways: if too small, look-ups wait during
+// bursts; if too large, slots stay idle at low load. The reserve is the larger
+// of the configured fraction and the current demand of short requests: their
+// load in slots, by Little's law, plus the square root of that for bursts.
+// Twice the square root left the p99 of look-ups the same and cost the reports
+// a third of their work.
+constexpr double kBurstMargin = 1.0;
+
+// A flood of short requests must not keep all long requests out for good, so
+// the reserve by load is at most this fraction of the slots. Which workspace
+// gets the rest is decided by the queue.
+constexpr double kMaxLoadReserve = 0.75;
+
+// Long enough that noise in the load doesn't move the limit, short enough that
+// a burst has its slots after the time of a few look-ups.
+constexpr duration kLoadDecayTime = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -34,24 +34,28 @@
     : reserve_(std::clamp(reserve, 0.0, 1.0)) {}
 
 double slot_guard::ShortLoad(monotonic_time now) const {
-  const double age = std::max(0.0, ToSeconds(now - counted_at_));
-  const double kept = slot_seconds_ * std::exp(-age / ToSeconds(kMemory));
-  return kept / ToSeconds(kMemory);
+  const double age = std::max(0.0, ToSeconds(now - updated_at_));
+  const double decayed =
+      short_slot_seconds_ * std::exp(-age / ToSeconds(kLoadDecayTime));
+  return decayed / ToSeconds(kLoadDecayTime);
 }
 
 void slot_guard::OnShortArrival(duration expected, monotonic_time now) {
-  slot_seconds_ = ShortLoad(now) * ToSeconds(kMemory) + ToSeconds(expected);
-  counted_at_ = std::max(counted_at_, now);
+  short_slot_seconds_ =
+      ShortLoad(now) * ToSeconds(kLoadDecayTime) + ToSeconds(expected);
+  updated_at_ = std::max(updated_at_, now);
 }
 
 int slot_guard::LongLimit(int usable_slots, monotonic_time now) const {
   if (usable_slots <= 0) return 0;
   if (reserve_ <= 0) return usable_slots;
   const double load = ShortLoad(now);
-  const double needed = load + kSwing * std::sqrt(load);
-  const double most = std::max(reserve_, kLargestReserve) * usable_slots;
-  const double kept = std::min(most, std::max(reserve_ * usable_slots, needed));
-  const int limit = usable_slots - static_cast<int>(std::ceil(kept));
+  const double short_demand = load + kBurstMargin * std::sqrt(load);
+  const double max_reserved =
+      std::max(reserve_, kMaxLoadReserve) * usable_slots;
+  const double reserved =
+      std::min(max_reserved, std::max(reserve_ * usable_slots, short_demand));
+  const int limit = usable_slots - static_cast<int>(std::ceil(reserved));
   return std::max(1, limit);
 }
 
--- a/tests/policy/retry_budget_test.cc
+++ b/tests/policy/retry_budget_test.cc
@@ -2,8 +2,8 @@
 
 #include <boost/test/unit_test.hpp>
 
-// Every first try fails for a while. The upstreams must not see the load
-// multiplied by the retries.
+// Every first attempt fails for a while. Retries must not multiply the load of
+// the upstreams.
 BOOST_AUTO_TEST_CASE(RetriesAreAShareOfTheTraffic) {
   citron::retry_budget budget(0.1);
   int retries = 0;
--- a/tests/policy/slot_guard_test.cc
+++ b/tests/policy/slot_guard_test.cc
@@ -10,11 +10,11 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(KeepsItsPartAndMoreWhenShortWorkNeedsIt) {
+BOOST_AUTO_TEST_CASE(KeepsItsReserveAndMoreUnderShortLoad) {
   slot_guard guard(0.25);
   monotonic_time now{seconds(10)};
   BOOST_TEST(guard.LongLimit(16, now) == 12);
-  // 200 a second of 40 ms need 8 slots, and some more for their swings.
+  // 200 requests of 40 ms a second need 8 slots, and a margin for bursts.
   for (int i = 0; i < 2000; ++i) {
     now += milliseconds(5);
     guard.OnShortArrival(milliseconds(40), now);
@@ -23,7 +23,7 @@
   BOOST_TEST(guard.LongLimit(16, now + seconds(30)) == 12);
 }
 
-BOOST_AUTO_TEST_CASE(NeverShutsLongWorkOut) {
+BOOST_AUTO_TEST_CASE(AlwaysAdmitsSomeLongRequests) {
   slot_guard guard(0.25);
   const monotonic_time now{seconds(10)};
   for (int i = 0; i < 10000; ++i) guard.OnShortArrival(seconds(1), now);
