--- a/include/citron/policy/service_scheduler.h
+++ b/include/citron/policy/service_scheduler.h
@@ -46,30 +46,32 @@
   std::size_t max_queued = 4096;
   // Retries allowed, as a fraction of the requests that arrive.
   double retry_share = 0.1;
-  duration poison_time = std::chrono::seconds(60);
+  duration poison_duration = std::chrono::seconds(60);
   upstream_chooser_options upstreams;
 };
 
-// The caller must send the request to the upstream now.
+// Instructs the owner to send the request to the upstream now.
 struct send_action {
   request_id id;
   upstream_id upstream;
 };
 
-// The caller must answer the request now; the request was not run.
+// Instructs the owner to answer the request now; the request was not run.
 struct refuse_action {
   request_id id;
   refusal_reason reason = refusal_reason::kNoUpstream;
   monotonic_time retry_at;
 };
 
-// Reports to the other owners that this fingerprint crashed two upstreams.
+// Instructs the owner to report to the other owners that this fingerprint
+// crashed two upstreams.
 struct poison_action {
   std::uint64_t fingerprint = 0;
   monotonic_time until;
 };
 
-// Reports to the other owners that this fingerprint was in flight at one crash.
+// Instructs the owner to report to the other owners that this fingerprint was
+// in flight at one crash.
 struct suspect_action {
   std::uint64_t fingerprint = 0;
   upstream_crash crash;
@@ -148,9 +150,10 @@
   struct entry {
     scheduler_request request;
     queued_request queued;  // As pushed to the queue.
-    upstream_id
-        upstream;  // Where the request is in flight; empty while it waits.
-    upstream_id last_upstream;  // Where the request was last in flight.
+    // Where the request is in flight; empty while it waits.
+    upstream_id upstream;
+    // Where the request was in flight before.
+    upstream_id last_upstream;
     monotonic_time sent_at;
     int sends = 0;
     bool sent_as_suspect = false;
--- a/src/policy/service_scheduler.cc
+++ b/src/policy/service_scheduler.cc
@@ -28,7 +28,7 @@
 constexpr double kRetryJitter = 1.0;
 constexpr duration kMinRetryDelay = std::chrono::milliseconds(200);
 
-// Without any upstream, a retry can't succeed before a server has restarted.
+// Without any upstream, a retry can only succeed after a server has restarted.
 constexpr duration kNoUpstreamRetryDelay = std::chrono::seconds(1);
 
 // All connections of one crash are lost within this period.
@@ -46,7 +46,7 @@
       estimator_(options_.expected_times, options_.default_expected_time),
       guard_(options_.short_reserve),
       chooser_(options_.upstreams),
-      poison_(options_.poison_time),
+      poison_(options_.poison_duration),
       retries_(options_.retry_share) {}
 
 service_scheduler::actions service_scheduler::SetUpstreams(
@@ -179,11 +179,11 @@
 // Frees the slot and updates the estimates with the outcome.
 void service_scheduler::ReleaseSlot(entry& e, upstream_outcome outcome,
                                     monotonic_time now) {
-  const duration taken = now - e.sent_at;
+  const duration elapsed = now - e.sent_at;
   const std::string& request_class = e.request.request_class;
   const duration mean = estimator_.Mean(request_class, now);
   const double slowness =
-      ToSeconds(taken) / std::max(ToSeconds(mean), ToSeconds(duration(1)));
+      ToSeconds(elapsed) / std::max(ToSeconds(mean), ToSeconds(duration(1)));
   chooser_.OnDone(e.upstream, outcome, slowness, now);
   --in_flight_;
   if (e.request.long_running) --long_in_flight_;
@@ -193,9 +193,9 @@
   // answers counted, a class that always times out would still be admitted.
   const bool answered = outcome == upstream_outcome::kAnswered;
   const bool took_longer =
-      outcome == upstream_outcome::kTimedOut && taken > mean;
+      outcome == upstream_outcome::kTimedOut && elapsed > mean;
   if (answered || took_longer) {
-    estimator_.OnServed(request_class, taken, now);
+    estimator_.OnServed(request_class, elapsed, now);
   }
   e.last_upstream = e.upstream;
   e.upstream = upstream_id();
@@ -235,10 +235,11 @@
   if (is_same) return last_crash_.suspects;
   last_crash_ = {upstream, now, {}};
   for (const auto& [id, e] : entries_) {
-    const bool was_there =
+    const bool was_in_flight_there =
         e.upstream == upstream || e.last_upstream == upstream;
     const std::uint64_t fingerprint = e.request.fingerprint;
-    if (was_there && poison_.Of(fingerprint, now) == standing::kSuspect) {
+    if (was_in_flight_there &&
+        poison_.Of(fingerprint, now) == standing::kSuspect) {
       last_crash_.suspects.insert(fingerprint);
     }
   }
@@ -250,9 +251,9 @@
 // before the suspicion may share its upstream with the poison request. If the
 // crash counted against both, equal requests of many callers would be convicted
 // with the poison request, and refused although they were served before. Such a
-// crash counts only against an upstream's only suspect: a duplicate of the
-// poison request that was in flight when the first one crashed its upstream
-// then convicts it without a third crash.
+// crash counts only where the request is the only suspect: then a duplicate of
+// a poison request, in flight when the first one crashed its upstream, is
+// convicted by its own crash, and no third upstream has to crash.
 bool service_scheduler::IsCrashEvidence(const entry& e, monotonic_time now) {
   using standing = poison_registry::standing;
   const std::set<std::uint64_t>& suspects =
@@ -381,7 +382,7 @@
   return long_in_flight_ < guard_.LongLimit(chooser_.UsableSlots(now), now);
 }
 
-// Returns whether some upstreams may be unsuitable for the request.
+// Returns whether the request may not take a free slot of just any upstream.
 bool service_scheduler::HasUpstreamConstraint(const entry& e,
                                               monotonic_time now) const {
   if (!e.last_upstream.IsEmpty()) return true;
