--- a/include/citron/policy/service_scheduler.h
+++ b/include/citron/policy/service_scheduler.h
@@ -149,7 +149,7 @@
  private:
   struct entry {
     scheduler_request request;
-    queued_request queued;  // As pushed to the queue.
+    queued_request queue_item;  // As pushed to the queue.
     // Where the request is in flight; empty while it waits.
     upstream_id upstream;
     // Where the request was in flight before.
@@ -164,7 +164,7 @@
   monotonic_time LatestStart(const scheduler_request& request,
                              duration expected, monotonic_time now) const;
   bool RefuseOnArrival(const scheduler_request& request,
-                       const queued_request& queued, monotonic_time now,
+                       const queued_request& queue_item, monotonic_time now,
                        actions& out);
   void Refuse(const request_id& id, refusal_reason reason,
               monotonic_time retry_at, actions& out);
@@ -197,7 +197,8 @@
   // Returns true if the request was sent again.
   bool OnConnectionLost(entry& e, monotonic_time now, actions& out);
 
-  duration ExpectedWait(const queued_request& queued, monotonic_time now) const;
+  duration ExpectedWait(const queued_request& queue_item,
+                        monotonic_time now) const;
   duration ShortWait(duration cost_ahead, duration expected,
                      monotonic_time now) const;
   monotonic_time RetryAt(duration wait, monotonic_time now);
--- a/src/policy/service_scheduler.cc
+++ b/src/policy/service_scheduler.cc
@@ -69,18 +69,19 @@
   retries_.OnRequest();
   const duration expected = estimator_.Mean(request.request_class, now);
   if (!request.long_running) guard_.OnShortArrival(expected, now);
-  queued_request queued{.id = request.id,
-                        .workspace = request.workspace,
-                        .weight = request.weight,
-                        .long_running = request.long_running,
-                        .cost = expected,
-                        .latest_start = LatestStart(request, expected, now)};
-  if (RefuseOnArrival(request, queued, now, out)) return out;
+  queued_request queue_item{
+      .id = request.id,
+      .workspace = request.workspace,
+      .weight = request.weight,
+      .long_running = request.long_running,
+      .cost = expected,
+      .latest_start = LatestStart(request, expected, now)};
+  if (RefuseOnArrival(request, queue_item, now, out)) return out;
   entry& e = entries_[request.id];
   e.request = request;
-  e.queued = std::move(queued);
-  queue_.Push(e.queued);
-  latest_starts_.emplace(e.queued.latest_start, request.id);
+  e.queue_item = std::move(queue_item);
+  queue_.Push(e.queue_item);
+  latest_starts_.emplace(e.queue_item.latest_start, request.id);
   EnforceQueueLimit(now, out);
   Dispatch(now, out);
   return out;
@@ -100,7 +101,7 @@
 }
 
 bool service_scheduler::RefuseOnArrival(const scheduler_request& request,
-                                        const queued_request& queued,
+                                        const queued_request& queue_item,
                                         monotonic_time now, actions& out) {
   using standing = poison_registry::standing;
   if (poison_.Of(request.fingerprint, now) == standing::kPoison) {
@@ -113,13 +114,13 @@
            RetryAt(kNoUpstreamRetryDelay, now), out);
     return true;
   }
-  const duration wait = ExpectedWait(queued, now);
+  const duration wait = ExpectedWait(queue_item, now);
   // The wait is a sum over other requests' service times, so it is as uncertain
   // as they are. A request that starts at once needs no such margin.
   const bool starts_now = wait == duration();
   const duration margin =
       starts_now ? duration() : estimator_.Deviation(request.request_class);
-  if (now + wait + margin <= queued.latest_start) return false;
+  if (now + wait + margin <= queue_item.latest_start) return false;
   Refuse(request.id, refusal_reason::kWouldMissDeadline, RetryAt(wait, now),
          out);
   return true;
@@ -223,8 +224,8 @@
   // of this dispatch, and a request that excludes it would wait until its
   // deadline.
   if (unbudgeted_retry) e.last_upstream = upstream_id();
-  latest_starts_.emplace(e.queued.latest_start, id);
-  held_.emplace(e.queued.latest_start, id);
+  latest_starts_.emplace(e.queue_item.latest_start, id);
+  held_.emplace(e.queue_item.latest_start, id);
 }
 
 const std::set<std::uint64_t>& service_scheduler::SuspectsAtCrash(
@@ -284,7 +285,8 @@
     out.emplace_back(suspect_action{fingerprint, {e.last_upstream, now}});
   }
   const bool may_resend = e.request.idempotent && !e.cancelled &&
-                          e.sends < kMaxSends && now < e.queued.latest_start;
+                          e.sends < kMaxSends &&
+                          now < e.queue_item.latest_start;
   if (!may_resend) return false;
   const std::optional<upstream_id> upstream = ChooseWithConstraints(e, now);
   if (!upstream || !retries_.TryTake()) return false;
@@ -352,9 +354,9 @@
 }
 
 void service_scheduler::StopWaiting(const entry& e) {
-  const std::pair key(e.queued.latest_start, e.request.id);
+  const std::pair key(e.queue_item.latest_start, e.request.id);
   latest_starts_.erase(key);
-  if (held_.erase(key) == 0) queue_.Remove(e.queued);
+  if (held_.erase(key) == 0) queue_.Remove(e.queue_item);
 }
 
 void service_scheduler::RefusePoisoned(std::uint64_t fingerprint,
@@ -373,7 +375,7 @@
 void service_scheduler::ExpireWaiting(monotonic_time now, actions& out) {
   while (!latest_starts_.empty() && latest_starts_.begin()->first < now) {
     const request_id id = latest_starts_.begin()->second;
-    const duration wait = ExpectedWait(entries_.at(id).queued, now);
+    const duration wait = ExpectedWait(entries_.at(id).queue_item, now);
     RefuseWaiting(id, refusal_reason::kExpiredInQueue, RetryAt(wait, now), out);
   }
 }
@@ -441,7 +443,7 @@
     } else if (const auto allowed = ChooseWithConstraints(e, now)) {
       Send(e, *allowed, now, out);
     } else {
-      held_.emplace(e.queued.latest_start, e.request.id);
+      held_.emplace(e.queue_item.latest_start, e.request.id);
     }
   }
   next_change_ =
@@ -450,7 +452,7 @@
 
 void service_scheduler::Send(entry& e, const upstream_id& upstream,
                              monotonic_time now, actions& out) {
-  latest_starts_.erase({e.queued.latest_start, e.request.id});
+  latest_starts_.erase({e.queue_item.latest_start, e.request.id});
   e.upstream = upstream;
   e.sent_at = now;
   ++e.sends;
@@ -477,19 +479,21 @@
   return (cost_ahead + expected) / slots;
 }
 
-duration service_scheduler::ExpectedWait(const queued_request& queued,
+duration service_scheduler::ExpectedWait(const queued_request& queue_item,
                                          monotonic_time now) const {
-  const duration short_ahead = queue_.CostAhead(
-      queued.workspace, queued.weight, queued.latest_start, queued.cost, true);
-  const duration short_wait = ShortWait(short_ahead, queued.cost, now);
-  if (!queued.long_running) return short_wait;
-  const duration all_ahead = queue_.CostAhead(
-      queued.workspace, queued.weight, queued.latest_start, queued.cost, false);
+  const duration short_ahead =
+      queue_.CostAhead(queue_item.workspace, queue_item.weight,
+                       queue_item.latest_start, queue_item.cost, true);
+  const duration short_wait = ShortWait(short_ahead, queue_item.cost, now);
+  if (!queue_item.long_running) return short_wait;
+  const duration all_ahead =
+      queue_.CostAhead(queue_item.workspace, queue_item.weight,
+                       queue_item.latest_start, queue_item.cost, false);
   const int usable = std::max(1, chooser_.UsableSlots(now));
   const int limit = std::max(1, guard_.LongLimit(usable, now));
   if (all_ahead == duration() && long_in_flight_ < limit) return short_wait;
   const duration long_ahead = std::max(duration(), all_ahead - short_ahead);
-  const duration by_limit = (long_ahead + queued.cost) / limit;
+  const duration by_limit = (long_ahead + queue_item.cost) / limit;
   return std::max(by_limit, all_ahead / usable);
 }
 
