--- a/include/citron/policy/retry_budget.h
+++ b/include/citron/policy/retry_budget.h
@@ -6,8 +6,8 @@
 // Limits retries to a fraction of the traffic.
 class retry_budget {
  public:
-  // Allows `share` retries for each request and saves up at most `max_saved`
-  // retries.
+  // Allows `share` retries for each request. Starts with `max_saved` saved
+  // retries and saves up at most that many.
   explicit retry_budget(double share, double max_saved = 10);
 
   void OnRequest();
--- a/include/citron/policy/service_scheduler.h
+++ b/include/citron/policy/service_scheduler.h
@@ -44,8 +44,10 @@
   // Fraction of the slots that long-running requests may not take, 0 to 1.
   double short_reserve = 0.25;
   std::size_t max_queued = 4096;
-  // Retries allowed, as a fraction of the requests that arrive.
+  // Retries allowed, as a fraction of the requests that arrive; retries after
+  // kLeavingNotRun don't count.
   double retry_share = 0.1;
+  // How long a suspicion or a conviction holds.
   duration poison_duration = std::chrono::seconds(60);
   upstream_chooser_options upstreams;
 };
@@ -78,8 +80,8 @@
 };
 
 // The number of this scheduler's requests that count as in flight at the
-// upstream from now on. Reported before each send and after each request ends,
-// whatever its outcome. A handover of the upstream to another owner needs the
+// upstream from now on. Reported before each send and on each outcome of a
+// request in flight. A handover of the upstream to another owner needs the
 // count: if it stayed too high, the new owner would leave free slots unused and
 // requests would wait until their deadline beside an idle upstream.
 struct in_flight_action {
@@ -93,7 +95,7 @@
 // The queue state that a zone's owner reports to the entry VMs.
 struct scheduler_load {
   int slots = 0;         // Total over all owned upstreams.
-  int usable_slots = 0;  // Slots that may be filled now.
+  int usable_slots = 0;  // May be used now, busy slots included.
   int in_flight = 0;
   int queued = 0;
   duration expected_wait{};  // For a short request that arrives now.
@@ -101,8 +103,8 @@
   int usable_upstreams = 0;
 };
 
-// The only queue of a service in a zone. It runs at the dispatch that owns the
-// zone's upstreams of that service.
+// The only queue of a service in a zone. It runs at the owner, the dispatch
+// that owns the zone's upstreams of that service.
 //
 // A request ends in one of three ways: a refuse_action (not run); an outcome
 // for which OnOutcome returns no action with the same id and that isn't one of
@@ -126,7 +128,7 @@
   actions Close(monotonic_time now);
 
   actions OnRequest(const scheduler_request& request, monotonic_time now);
-  // The caller has disconnected. A request in flight keeps its slot until
+  // The client has disconnected. A request in flight keeps its slot until
   // OnOutcome and isn't sent again.
   actions OnCancel(const request_id& id, monotonic_time now);
   actions OnOutcome(const request_id& id, upstream_outcome outcome,
@@ -152,7 +154,8 @@
     queued_request queue_item;  // As pushed to the queue.
     // Where the request is in flight; empty while it waits.
     upstream_id upstream;
-    // Where the request was in flight before.
+    // The upstream that the next send must avoid: that of the last outcome, or
+    // empty before the first outcome and after kLeavingNotRun.
     upstream_id last_upstream;
     monotonic_time sent_at;
     int sends = 0;
@@ -188,7 +191,8 @@
   void ReleaseSlot(entry& e, upstream_outcome outcome, monotonic_time now);
   void OnNotRun(entry& e, upstream_outcome outcome, monotonic_time now,
                 actions& out);
-  // Returns the suspects that were in flight at the upstream when it crashed.
+  // Returns the suspects among the requests whose current or last upstream is
+  // `upstream`, as of the first connection lost in its crash.
   const std::set<std::uint64_t>& SuspectsAtCrash(const upstream_id& upstream,
                                                  monotonic_time now);
   // Returns whether the crash of the request's upstream counts against the
@@ -218,8 +222,8 @@
   poison_registry poison_;
   retry_budget retries_;
   fair_queue queue_;
-  // Waiting requests that can't take just any slot: suspects, and requests that
-  // must not go back to the upstream that didn't run them.
+  // Waiting requests outside queue_: suspects for which no allowed upstream had
+  // a free slot, and requests that an upstream didn't run.
   std::set<std::pair<monotonic_time, request_id>> held_;
   // All waiting requests, by the time by which they must have started.
   std::set<std::pair<monotonic_time, request_id>> latest_starts_;
--- a/include/citron/policy/slot_guard.h
+++ b/include/citron/policy/slot_guard.h
@@ -9,7 +9,8 @@
 // to end.
 class slot_guard {
  public:
-  // `reserve` is the fraction of the slots that is always reserved, 0 to 1.
+  // `reserve` is the least fraction of the slots to reserve, 0 to 1; 0 disables
+  // the guard. One long request is allowed whenever a slot is usable.
   explicit slot_guard(double reserve);
 
   // Records the arrival of a short request that will occupy a slot for about
--- a/src/policy/class_estimator.cc
+++ b/src/policy/class_estimator.cc
@@ -11,14 +11,15 @@
 // milliseconds. One mean over both predicts neither: look-ups would be refused
 // as too late, and reports that can't end in time would be started.
 //
-// An eighth, as in TCP's round-trip estimator: the mean reaches a new level
-// within about twenty answers, and one outlier moves it by only an eighth.
+// The weight of a new sample, an eighth as in TCP's round-trip estimator: the
+// mean reaches a new level within about twenty answers, and one outlier moves
+// the mean by only an eighth of its distance.
 constexpr double kGain = 1.0 / 8;
 
 // A mean so high that every request of the class is refused gets no answers
 // that could lower it, and the class would stay refused after one slow period.
-// A mean without new answers therefore decays towards the initial estimate, by
-// half in each half-life after the first.
+// Mean() therefore lets the excess over the initial estimate decay without new
+// answers, by half in each half-life after the first.
 constexpr duration kHalfLife = std::chrono::seconds(5);
 
 }  // namespace
@@ -49,7 +50,8 @@
   if (added) e = InitialEstimate(request_class);
   const double sample = ToSeconds(service_time);
   ++e.samples;
-  // The first answers outweigh the initial estimate, which may be far off.
+  // The initial estimate may be far off, so it counts only as much as one of
+  // the first answers.
   const double gain = std::max(kGain, 1.0 / (e.samples + 1));
   e.deviation_s += gain * (std::abs(sample - e.mean_s) - e.deviation_s);
   e.mean_s += gain * (sample - e.mean_s);
--- a/src/policy/service_scheduler.cc
+++ b/src/policy/service_scheduler.cc
@@ -16,22 +16,24 @@
 // refused as soon as it can no longer start in time. The refusal carries a
 // retry time and is never delayed to slow the caller's retries.
 
-// At saturation the queue serves the requests closest to expiry, so requests
-// start at their latest start. If that left only the mean service time, half of
-// them would time out at the upstream and waste their slot's time. Four mean
-// deviations, as in TCP's retransmission timer, reduce that to one in a
-// hundred; one mean deviation left one in twelve at three times the capacity.
-constexpr int kDeviationMargin = 4;
-
-// Callers that retry at the same moment would be the next burst, so each retry
-// time lies between once and twice the wait.
-constexpr double kRetryJitter = 1.0;
+// At saturation requests start at their latest start, since each workspace's
+// most urgent request is served first. If the latest start left only the mean
+// service time, half of the requests would time out at the upstream and waste
+// their slot's time. Four mean deviations, as in TCP's retransmission timer,
+// reduce that to one in a hundred; one mean deviation left one in twelve at
+// three times the capacity.
+constexpr int kDeviationFactor = 4;
+
+// Callers that retry at the same moment would be the next burst, so RetryAt
+// returns a random time after one to two times the wait.
+constexpr double kRetryJitterFactor = 1.0;
 constexpr duration kMinRetryDelay = std::chrono::milliseconds(200);
 
-// Without any upstream, a retry can only succeed after a server has restarted.
+// Without a usable upstream, a retry can only succeed after an upstream has
+// restarted.
 constexpr duration kNoUpstreamRetryDelay = std::chrono::seconds(1);
 
-// All connections of one crash are lost within this period.
+// The connections of one upstream crash are lost within this period.
 constexpr duration kCrashGroupingWindow = std::chrono::milliseconds(20);
 
 // The first attempt and one retry.
@@ -94,7 +96,7 @@
                                               duration expected,
                                               monotonic_time now) const {
   const duration deviation_margin =
-      kDeviationMargin * estimator_.Deviation(request.request_class);
+      kDeviationFactor * estimator_.Deviation(request.request_class);
   const monotonic_time latest_by_mean = request.deadline - expected;
   return std::min(latest_by_mean,
                   std::max(now, latest_by_mean - deviation_margin));
@@ -115,8 +117,9 @@
     return true;
   }
   const duration wait = ExpectedWait(queue_item, now);
-  // The wait is a sum over other requests' service times, so it is as uncertain
-  // as they are. A request that starts at once needs no such margin.
+  // The wait is a sum over other requests' service times and as uncertain as
+  // they are; the deviation of the request's own class stands for theirs. A
+  // request that starts at once needs no such margin.
   const bool starts_now = wait == duration();
   const duration margin =
       starts_now ? duration() : estimator_.Deviation(request.request_class);
@@ -127,7 +130,8 @@
 }
 
 // The queue limit bounds memory; deadlines keep the queue far shorter. The
-// request refused is one of the workspace that has the most in the queue.
+// refused request is the one that can wait longest, of the workspace with the
+// most queued relative to its weight.
 void service_scheduler::EnforceQueueLimit(monotonic_time now, actions& out) {
   if (queue_.Size() + held_.size() <= options_.max_queued) return;
   const std::optional<queued_request> surplus = queue_.Surplus();
@@ -177,7 +181,8 @@
   return out;
 }
 
-// Frees the slot and updates the estimates with the outcome.
+// Frees the slot, moves `upstream` to `last_upstream`, and updates the
+// estimates with the outcome.
 void service_scheduler::ReleaseSlot(entry& e, upstream_outcome outcome,
                                     monotonic_time now) {
   const duration elapsed = now - e.sent_at;
@@ -211,8 +216,9 @@
     entries_.erase(id);
     return;
   }
-  // A planned stop must not cause refusals, and it can't cause many retries:
-  // after the first such outcome that upstream gets no more requests.
+  // The retry budget must not turn a planned stop into a refusal. A planned
+  // stop can't cause many retries: after the first such outcome that upstream
+  // gets no more requests.
   const bool unbudgeted_retry = outcome == upstream_outcome::kLeavingNotRun;
   if (!unbudgeted_retry && !retries_.TryTake()) {
     Refuse(id, refusal_reason::kRetryBudget, RetryAt(kMinRetryDelay, now), out);
@@ -236,10 +242,10 @@
   if (is_same) return last_crash_.suspects;
   last_crash_ = {upstream, now, {}};
   for (const auto& [id, e] : entries_) {
-    const bool was_in_flight_there =
+    const bool may_have_been_there =
         e.upstream == upstream || e.last_upstream == upstream;
     const std::uint64_t fingerprint = e.request.fingerprint;
-    if (was_in_flight_there &&
+    if (may_have_been_there &&
         poison_.Of(fingerprint, now) == standing::kSuspect) {
       last_crash_.suspects.insert(fingerprint);
     }
@@ -247,14 +253,16 @@
   return last_crash_.suspects;
 }
 
-// A request that was sent as a suspect went to an upstream with no other such
-// request, so the crash counts against the request. A request that was sent
-// before the suspicion may share its upstream with the poison request. If the
-// crash counted against both, equal requests of many callers would be convicted
-// with the poison request, and refused although they were served before. Such a
-// crash counts only where the request is the only suspect: then a duplicate of
-// a poison request, in flight when the first one crashed its upstream, is
-// convicted by its own crash, and no third upstream has to crash.
+// A crash counts against a request that isn't a suspect yet, or that was sent
+// as a suspect and so went to an upstream with no other such request.
+//
+// A request that was sent before the suspicion may share its upstream with the
+// poison request. If the crash counted against both, equal requests of many
+// callers would be convicted with the poison request, and refused although they
+// were served before. The crash therefore counts against such a request only if
+// no other fingerprint was a suspect there: a duplicate of a poison request, in
+// flight when the first one crashed its upstream, is then convicted by its own
+// crash, and no third upstream has to crash.
 bool service_scheduler::IsCrashEvidence(const entry& e, monotonic_time now) {
   using standing = poison_registry::standing;
   const std::set<std::uint64_t>& suspects =
@@ -474,8 +482,8 @@
   if (cost_ahead == duration() && chooser_.FreeSlots(now) > 0) return {};
   const int usable = chooser_.UsableSlots(now);
   const int slots = std::max(1, usable - long_in_flight_);
-  // All slots are busy, so on average one becomes free after the service time
-  // divided by the number of slots.
+  // With all slots busy, on average one of those without a long request becomes
+  // free after the service time divided by their number.
   return (cost_ahead + expected) / slots;
 }
 
@@ -498,7 +506,7 @@
 }
 
 monotonic_time service_scheduler::RetryAt(duration wait, monotonic_time now) {
-  const double jitter = 1 + kRetryJitter * std::ldexp(random_(), -32);
+  const double jitter = 1 + kRetryJitterFactor * std::ldexp(random_(), -32);
   return now + FromSeconds(ToSeconds(std::max(wait, kMinRetryDelay)) * jitter);
 }
 
--- a/src/policy/slot_guard.cc
+++ b/src/policy/slot_guard.cc
@@ -17,15 +17,15 @@
 // load in slots, by Little's law, plus the square root of that for bursts.
 // Twice the square root left the p99 of look-ups the same and cost the reports
 // a third of their work.
-constexpr double kBurstMargin = 1.0;
+constexpr double kBurstFactor = 1.0;
 
 // A flood of short requests must not keep all long requests out for good, so
 // the reserve by load is at most this fraction of the slots. Which workspace
-// gets the rest is decided by the queue.
+// gets the remaining slots is decided by the queue.
 constexpr double kMaxLoadReserve = 0.75;
 
-// Long enough that noise in the load doesn't move the limit, short enough that
-// a burst has its slots after the time of a few look-ups.
+// The time constant of the average load. Long enough that noise in the load
+// doesn't move the limit, short enough that a burst soon gets its slots.
 constexpr duration kLoadDecayTime = std::chrono::seconds(2);
 
 }  // namespace
@@ -50,7 +50,7 @@
   if (usable_slots <= 0) return 0;
   if (reserve_ <= 0) return usable_slots;
   const double load = ShortLoad(now);
-  const double short_demand = load + kBurstMargin * std::sqrt(load);
+  const double short_demand = load + kBurstFactor * std::sqrt(load);
   const double max_reserved =
       std::max(reserve_, kMaxLoadReserve) * usable_slots;
   const double reserved =
--- a/tests/policy/service_scheduler_test.cc
+++ b/tests/policy/service_scheduler_test.cc
@@ -117,8 +117,8 @@
   BOOST_TEST(result.sends < 1.02 * result.Good());
 }
 
-// The same burst with callers that retry soon after a refusal. The requests
-// sent to the upstreams must not grow with the retries.
+// The same burst with longer deadlines and callers that retry soon after a
+// refusal. The requests sent to the upstreams must not grow with the retries.
 BOOST_AUTO_TEST_CASE(TrafficBurstWithRetryingCallers) {
   auto loads = LookupLoads(0.4 * kCapacity, milliseconds(2000));
   for (auto& load : loads) {
@@ -164,7 +164,7 @@
                                      upstream_outcome::kAnswered, fixture.now));
   BOOST_TEST(reported[upstream] == 2);
   BOOST_REQUIRE(sent.contains(request_id("c")));
-  // The upstream is handed over: a request about to be sent is turned back.
+  // The upstream is handed over: request "c", just sent, is turned back.
   record(fixture.scheduler.OnOutcome(
       request_id("c"), upstream_outcome::kLeavingNotRun, fixture.now));
   BOOST_TEST(reported[upstream] == 1);
@@ -202,8 +202,8 @@
 }
 
 // Load pattern: reports that take seconds among look-ups that take
-// milliseconds, with more reports than slots. If reports may take every slot,
-// each look-up waits for the end of a report.
+// milliseconds; the reports alone need all slots. If reports may take every
+// slot, each look-up waits for the end of a report.
 BOOST_AUTO_TEST_CASE(LongReportsAmongShortLookups) {
   const auto lookups = LookupLoads(0.35 * kCapacity, seconds(1));
   const auto alone = Simulate(YardDesk(), lookups, seconds(60), seconds(10));
@@ -383,7 +383,8 @@
 
 // Guards against refusing a request common to many callers as poison: the
 // request is a suspect of a crash elsewhere, and a poison request that is
-// unknown here crashes the upstream that runs both.
+// unknown here crashes the upstream that runs both. The common request was
+// answered here before the report.
 BOOST_AUTO_TEST_CASE(AnsweredSuspectIsNotConvictedBesideAPoisonRequest) {
   scheduler_fixture fixture(Servers(1, 4));
   scheduler_request common = fixture.Request("common");
@@ -439,7 +440,7 @@
 }
 
 // A request waits behind another that takes far longer than expected. The
-// waiting request must be refused as soon as it can't finish in time.
+// waiting request must be refused as soon as it is unlikely to end in time.
 BOOST_AUTO_TEST_CASE(TimerRefusesARequestThatCannotEndInTime) {
   scheduler_fixture fixture(Servers(1, 1));
   fixture.scheduler.OnRequest(fixture.Request("first"), fixture.now);
