--- a/tests/protocol/workspace_quota_cut_test.cc
+++ b/tests/protocol/workspace_quota_cut_test.cc
@@ -16,17 +16,24 @@
 
 constexpr std::size_t kVms = 10;
 
-enum class fault { kGroups, kBridge, kMute, kDeaf, kOneNeighbour, kLoss };
+enum class fault {
+  kGroups,
+  kBridge,
+  kNoSend,
+  kNoReceive,
+  kOneNeighbour,
+  kLoss
+};
 
-// Draws who is cut off from whom, when, and where callers ask.
-class drawn_cut {
+// Draws random partitions, their times and the distribution of demand.
+class random_partition {
  public:
-  explicit drawn_cut(std::uint64_t seed) : random_(seed) {}
+  explicit random_partition(std::uint64_t seed) : random_(seed) {}
 
-  void Begin(fault kind, quota_fleet& fleet) {
+  void Apply(fault kind, quota_fleet& fleet) {
     std::vector<int> group(kVms);
-    for (int& g : group) g = Draw(0, 2);
-    const auto drawn = static_cast<std::size_t>(Draw(0, kVms - 2));
+    for (int& g : group) g = DrawInt(0, 2);
+    const auto drawn = static_cast<std::size_t>(DrawInt(0, kVms - 2));
     for (std::size_t a = 0; a < kVms; ++a) {
       for (std::size_t b = 0; b < kVms; ++b) {
         const bool same = group[a] == group[b];
@@ -34,15 +41,15 @@
         const bool neighbours = a == drawn + 1 || b == drawn + 1;
         if ((kind == fault::kGroups && !same) ||
             (kind == fault::kBridge && !same && !bridged) ||
-            (kind == fault::kMute && a == drawn) ||
-            (kind == fault::kDeaf && b == drawn) ||
+            (kind == fault::kNoSend && a == drawn) ||
+            (kind == fault::kNoReceive && b == drawn) ||
             (kind == fault::kOneNeighbour && (a == drawn || b == drawn) &&
              !neighbours)) {
           fleet.Block(a, b);
         }
       }
     }
-    if (kind == fault::kLoss) fleet.SetLoss(0.3);
+    if (kind == fault::kLoss) fleet.SetLossRate(0.3);
   }
 
   std::vector<double> Demand(double per_s) {
@@ -55,7 +62,7 @@
     return demand;
   }
 
-  int Draw(int least, int most) {
+  int DrawInt(int least, int most) {
     return std::uniform_int_distribution<int>(least, most)(random_);
   }
 
@@ -63,39 +70,40 @@
   pcg32 random_;
 };
 
-// Parts of the contract add up to more than all of it where VMs don't believe
-// the same of each other.
-BOOST_AUTO_TEST_CASE(AFloodStaysWithinTheContractWhoeverHearsWhom) {
+// Shares could add up to more than the contract when VMs have different views
+// of each other.
+BOOST_AUTO_TEST_CASE(AFloodStaysWithinTheContractUnderPartialConnectivity) {
   constexpr double kRate = 163;
-  for (const fault kind : {fault::kGroups, fault::kBridge, fault::kMute,
-                           fault::kDeaf, fault::kOneNeighbour, fault::kLoss}) {
+  for (const fault kind :
+       {fault::kGroups, fault::kBridge, fault::kNoSend, fault::kNoReceive,
+        fault::kOneNeighbour, fault::kLoss}) {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
       BOOST_TEST_CONTEXT("kind " << static_cast<int>(kind) << ", seed "
                                  << seed) {
-        drawn_cut draw(seed);
+        random_partition draw(seed);
         quota_fleet fleet(kVms, 1.05 * kRate, kRate, seed);
         fleet.SetDemand(draw.Demand(0.6 * kRate));
         fleet.Run(seconds(6));
-        const bool flood_first = draw.Draw(0, 1) == 1;
-        if (!flood_first) draw.Begin(kind, fleet);
-        fleet.Run(milliseconds(draw.Draw(0, 2000)));
+        const bool flood_first = draw.DrawInt(0, 1) == 1;
+        if (!flood_first) draw.Apply(kind, fleet);
+        fleet.Run(milliseconds(draw.DrawInt(0, 2000)));
         fleet.SetDemand(draw.Demand(5 * kRate));
-        fleet.Run(milliseconds(draw.Draw(0, 2000)));
-        if (flood_first) draw.Begin(kind, fleet);
+        fleet.Run(milliseconds(draw.DrawInt(0, 2000)));
+        if (flood_first) draw.Apply(kind, fleet);
         fleet.Run(seconds(4));
         fleet.SetDemand(draw.Demand(5 * kRate));
         fleet.Run(seconds(3));
-        fleet.Heal();
+        fleet.RestoreNetwork();
         fleet.Run(seconds(5));
-        BOOST_TEST(fleet.MostInWindow() <= (kRate * 6) * 1.1 + 20);
+        BOOST_TEST(fleet.MaxInWindow() <= (kRate * 6) * 1.1 + 20);
       }
     }
   }
 }
 
-// VMs that reach only a neighbour serve on while it proves their keys. The
-// others give their parts away when their records have lapsed for long.
-BOOST_AUTO_TEST_CASE(VmsThatReachOnlyANeighbourKeepTheirParts) {
+// VMs that reach only a neighbour go on serving while it proves their keys. The
+// other VMs take over their shares only long after their records have expired.
+BOOST_AUTO_TEST_CASE(VmsThatReachOnlyANeighbourKeepTheirShares) {
   constexpr double kRate = 358;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
@@ -110,17 +118,17 @@
         }
       }
       fleet.Run(milliseconds(2600));
-      for (const std::size_t vm : {0, 3, 6}) fleet.Remove(vm, vm + 1);
+      for (const std::size_t vm : {0, 3, 6}) fleet.RemoveVms(vm, vm + 1);
       fleet.Run(seconds(11));
       fleet.SetEvenDemand(4 * kRate);
       fleet.Run(seconds(8));
-      BOOST_TEST(fleet.MostInWindow() <= (kRate * 6) * 1.1 + 20);
+      BOOST_TEST(fleet.MaxInWindow() <= (kRate * 6) * 1.1 + 20);
     }
   }
 }
 
-// A workspace floods before anybody notices that VMs are cut off.
-BOOST_AUTO_TEST_CASE(AFloodStaysWithinTheContractAsACutBegins) {
+// A workspace floods before any VM detects that VMs are cut off.
+BOOST_AUTO_TEST_CASE(AFloodStaysWithinTheContractAsAPartitionBegins) {
   constexpr double kRate = 358;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     for (const std::size_t cut : {1, 4, 9}) {
@@ -130,11 +138,11 @@
           quota_fleet fleet(10, kRate, kRate, seed);
           fleet.SetEvenDemand(0.4 * kRate);
           fleet.Run(seconds(5) + milliseconds(37 * static_cast<int>(seed)));
-          for (std::size_t vm = 0; vm < cut; ++vm) fleet.Cut(vm);
+          for (std::size_t vm = 0; vm < cut; ++vm) fleet.Isolate(vm);
           fleet.Run(milliseconds(after_ms));
           fleet.SetEvenDemand(3.2 * kRate);
           fleet.Run(seconds(8));
-          BOOST_TEST(fleet.MostInWindow() <= fleet.Bound());
+          BOOST_TEST(fleet.MaxInWindow() <= fleet.MaxAllowedInWindow());
         }
       }
     }
--- a/tests/protocol/workspace_quota_test.cc
+++ b/tests/protocol/workspace_quota_test.cc
@@ -18,22 +18,22 @@
   for (int i = 0; i < 1000; ++i) BOOST_REQUIRE(quota.TryAdmit(now));
 }
 
-// A workspace sends at five eighths of its rate, evenly. None of its requests
-// may be refused: each would be one that the contract grants.
-BOOST_AUTO_TEST_CASE(AnOrdinaryWorkspaceIsNotRefused) {
+// A workspace sends evenly at five eighths of its rate. The contract grants
+// each of its requests, so almost none may be rejected.
+BOOST_AUTO_TEST_CASE(OrdinaryWorkspaceIsNotRejected) {
   for (const double rate : {5.0, 20.0, 140.0}) {
     BOOST_TEST_CONTEXT("rate " << rate) {
       quota_fleet fleet(10, rate, rate, 1);
       fleet.SetEvenDemand(0.62 * rate);
       fleet.Run(seconds(40));
-      BOOST_TEST(fleet.Refused() <= fleet.Admitted() / 100);
-      BOOST_TEST(fleet.MostInWindow() <= fleet.Bound());
+      BOOST_TEST(fleet.Rejected() <= fleet.Admitted() / 100);
+      BOOST_TEST(fleet.MaxInWindow() <= fleet.MaxAllowedInWindow());
     }
   }
 }
 
-// One workspace sends eight times its usual, suddenly and everywhere. The whole
-// fleet together must stay within its contract from the first second on.
+// One workspace suddenly sends eight times its usual load on all VMs. The whole
+// fleet must stay within the contract from the first second on.
 BOOST_AUTO_TEST_CASE(AFloodStaysWithinTheContract) {
   for (const std::uint64_t seed : {1, 2, 3, 4, 5}) {
     for (const double rate : {10.0, 140.0}) {
@@ -43,19 +43,19 @@
         fleet.Run(seconds(10));
         fleet.SetEvenDemand(5 * rate);
         fleet.Run(seconds(15));
-        BOOST_TEST(fleet.MostInWindow() <= fleet.Bound());
+        BOOST_TEST(fleet.MaxInWindow() <= fleet.MaxAllowedInWindow());
         fleet.SetEvenDemand(0.62 * rate);
         fleet.Run(seconds(10));
-        BOOST_TEST(fleet.MostInWindow() <= fleet.Bound());
+        BOOST_TEST(fleet.MaxInWindow() <= fleet.MaxAllowedInWindow());
       }
     }
   }
 }
 
-// A flood of eight times the usual that comes and goes, at a large workspace
-// and many draws of arrivals: the fullest five seconds keep half of the
-// overshoot and of the slack free, for what the bench of a deployment sees that
-// a VM doesn't, such as requests that were sent earlier and arrive together.
+// A flood of eight times the usual load comes and goes at a large workspace,
+// with many random arrival sequences. The fullest five seconds keep half of the
+// overshoot and of the slack free for what a deployment's benchmark sees and a
+// VM doesn't, such as requests that were sent earlier and arrive together.
 BOOST_AUTO_TEST_CASE(AFloodLeavesHalfOfTheOvershootFree) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
@@ -73,12 +73,12 @@
       fleet.Run(seconds(3));
       fleet.SetDemand(demand);
       fleet.Run(seconds(9));
-      BOOST_TEST(fleet.MostInWindow() <= (kRate * 6) * 1.05 + 10);
+      BOOST_TEST(fleet.MaxInWindow() <= (kRate * 6) * 1.05 + 10);
     }
   }
 }
 
-// The flood comes through two VMs only, and moves to two others.
+// The flood comes through only two VMs at a time and moves to two others.
 BOOST_AUTO_TEST_CASE(AFloodThatMovesStaysWithinTheContract) {
   constexpr double kRate = 100;
   quota_fleet fleet(10, kRate, kRate, 7);
@@ -88,23 +88,23 @@
     fleet.SetDemand(demand);
     fleet.Run(seconds(4));
   }
-  BOOST_TEST(fleet.MostInWindow() <= fleet.Bound());
+  BOOST_TEST(fleet.MaxInWindow() <= fleet.MaxAllowedInWindow());
 }
 
-// A region is cut off, and callers of a busy workspace press on the others. The
-// others take its VMs for gone when their records lapse, but until these can't
-// prove any more that their keys are in force, they let in their part. It must
-// not be given away before.
-BOOST_AUTO_TEST_CASE(VmsThatAreCutOffKeepTheirPartWhileTheyLetIn) {
+// A region is cut off while callers of a busy workspace load the other VMs. The
+// other VMs count the region's VMs as gone when their records expire, but those
+// VMs admit their share until they can no longer prove that their keys are in
+// force. The share must not be given to others before.
+BOOST_AUTO_TEST_CASE(IsolatedVmsKeepTheirShareWhileTheyAdmit) {
   constexpr double kRate = 622;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       quota_fleet fleet(18, kRate * 1.05, kRate, seed);
       fleet.SetEvenDemand(1.15 * kRate);
       fleet.Run(seconds(10));
-      for (std::size_t vm = 0; vm < 9; ++vm) fleet.Cut(vm);
+      for (std::size_t vm = 0; vm < 9; ++vm) fleet.Isolate(vm);
       fleet.Run(milliseconds(2500));
-      fleet.Remove(0, 9);
+      fleet.RemoveVms(0, 9);
       std::vector<double> demand(18, 0.25 * kRate);
       std::fill(demand.begin(), demand.begin() + 9, 1.15 * kRate / 18);
       fleet.SetDemand(demand);
@@ -112,8 +112,8 @@
       std::fill(demand.begin(), demand.begin() + 9, 0.0);
       fleet.SetDemand(demand);
       fleet.Run(seconds(6));
-      BOOST_TEST(fleet.MostInWindow() <= kRate * 6 * 1.1 + 20);
-      // Later the others have all of it.
+      BOOST_TEST(fleet.MaxInWindow() <= kRate * 6 * 1.1 + 20);
+      // Later the other VMs have the whole contract.
       const int before = fleet.Admitted();
       fleet.Run(seconds(5));
       BOOST_TEST(fleet.Admitted() - before > 0.9 * kRate * 5);
@@ -121,11 +121,11 @@
   }
 }
 
-// All VMs of a large fleet serve callers, and tell each other every two seconds
-// only. Callers of a workspace that is at its limit come to a third of them
-// besides. Each lets in what the fleet seems to have room for; what the others
-// have let in since they told counts for that, or all fill the same room.
-BOOST_AUTO_TEST_CASE(WhatIsHeardSeldomCountsAsOld) {
+// All VMs of a large fleet serve callers and report only every two seconds, and
+// extra callers of a workspace at its limit arrive at a third of the VMs. Each
+// VM admits what the fleet seems to have room for; it must count what others
+// may have admitted since their reports, or all VMs fill the same room.
+BOOST_AUTO_TEST_CASE(InfrequentReportsCountAsOld) {
   constexpr double kRate = 622;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
@@ -136,14 +136,15 @@
       for (std::size_t vm = 0; vm < 24; ++vm) demand[vm] += kRate / 24;
       fleet.SetDemand(demand);
       fleet.Run(seconds(5));
-      BOOST_TEST(fleet.MostInWindow() <= kRate * 6 * 1.1 + 20);
+      BOOST_TEST(fleet.MaxInWindow() <= kRate * 6 * 1.1 + 20);
     }
   }
 }
 
-// A VM stops as planned: its record goes first, and it tells of requests for
-// some seconds more. When it has gone, its part must come back to the others.
-BOOST_AUTO_TEST_CASE(AVmThatLeftGivesItsPartBack) {
+// A VM stops as planned: its record is removed first, and it reports requests
+// for some seconds more. After it has gone, its share must return to the
+// others.
+BOOST_AUTO_TEST_CASE(ShareOfAStoppedVmReturnsToTheOthers) {
   const monotonic_time start{std::chrono::hours(1)};
   workspace_quota quota(quota_options{}, start);
   quota.SetTerms(100, 100, start);
@@ -154,15 +155,15 @@
   quota.SetFleetSize(1);
   quota.RemoveVm(other, start + seconds(2));
   quota.OnReport(other, {40, 200}, start + seconds(3));
-  const double while_there = quota.State(start + seconds(3)).share;
+  const double share_before_removal = quota.State(start + seconds(3)).share;
   for (int i = 4; i < 20; ++i) quota.Report(start + seconds(i));
-  BOOST_TEST(while_there < 0.5);
+  BOOST_TEST(share_before_removal < 0.5);
   BOOST_TEST(quota.State(start + seconds(20)).share == 1);
   BOOST_TEST(quota.State(start + seconds(20)).fleet_admitted == 0);
 }
 
-// A refusal whose share rests on few reports must show it.
-BOOST_AUTO_TEST_CASE(TheStateTellsOnHowManyVmsItRests) {
+// The state must show when a rejection relies on few reports.
+BOOST_AUTO_TEST_CASE(StateShowsHowManyVmsHaveReported) {
   const monotonic_time start{std::chrono::hours(1)};
   workspace_quota quota(quota_options{}, start);
   quota.SetSilenceLimit(seconds(2));
@@ -173,8 +174,8 @@
 }
 
 // Most callers move from one zone to another. They stay within the contract and
-// must be let in where they are now.
-BOOST_AUTO_TEST_CASE(CallersWhoMoveAreLetIn) {
+// must be admitted at their new zone.
+BOOST_AUTO_TEST_CASE(MovingCallersAreAdmitted) {
   constexpr double kRate = 100;
   quota_fleet fleet(10, kRate, kRate, 3);
   std::vector<double> before(10, 6.2);
@@ -185,12 +186,12 @@
   fleet.Run(seconds(10));
   fleet.SetDemand(after);
   fleet.Run(seconds(10));
-  BOOST_TEST(fleet.Refused() <= 10);
+  BOOST_TEST(fleet.Rejected() <= 10);
 }
 
-// Every VM is killed and starts again in the middle of a flood. None remembers
-// what was let in just before, and yet the contract's five seconds reach back
-// over the restart.
+// All or half of the VMs are killed and start again during a flood. None
+// remembers what was admitted just before, but the contract's five seconds
+// reach back over the restart.
 BOOST_AUTO_TEST_CASE(AFloodStaysWithinTheContractWhenVmsRestart) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     for (const std::size_t restarted : {10, 5}) {
@@ -200,25 +201,26 @@
         fleet.Run(seconds(8));
         fleet.Restart(0, restarted);
         fleet.Run(seconds(10));
-        BOOST_TEST(fleet.MostInWindow() <= 163 * 6 * 1.05 + 10);
+        BOOST_TEST(fleet.MaxInWindow() <= 163 * 6 * 1.05 + 10);
       }
     }
   }
 }
 
-// After a restart in quiet times nobody is to be refused for long.
-BOOST_AUTO_TEST_CASE(AnOrdinaryWorkspaceIsLetInAfterARestart) {
+// After a restart under ordinary load, requests may be rejected only briefly.
+BOOST_AUTO_TEST_CASE(OrdinaryWorkspaceIsAdmittedAfterARestart) {
   quota_fleet fleet(10, 100, 100, 2);
   fleet.SetEvenDemand(62);
   fleet.Run(seconds(8));
   fleet.Restart(0, 10);
   fleet.Run(seconds(10));
-  BOOST_TEST(fleet.Refused() <= 12);
+  BOOST_TEST(fleet.Rejected() <= 12);
 }
 
-// VMs that can't hear the others take a flood at themselves for a shift of
-// callers, and each gives itself the part of those that it doesn't hear.
-BOOST_AUTO_TEST_CASE(AFloodStaysWithinTheContractAcrossACut) {
+// VMs that receive no reports could mistake a flood on themselves for moving
+// callers, and each could take the share of the VMs that it receives nothing
+// from.
+BOOST_AUTO_TEST_CASE(AFloodStaysWithinTheContractAcrossAPartition) {
   constexpr double kRate = 93;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     for (const std::size_t cut : {1, 4, 9}) {
@@ -226,46 +228,46 @@
         quota_fleet fleet(10, kRate, kRate, seed);
         fleet.SetEvenDemand(0.4 * kRate);
         fleet.Run(seconds(5));
-        for (std::size_t vm = 0; vm < cut; ++vm) fleet.Cut(vm);
+        for (std::size_t vm = 0; vm < cut; ++vm) fleet.Isolate(vm);
         fleet.Run(seconds(4));
         fleet.SetEvenDemand(3.2 * kRate);
         fleet.Run(seconds(8));
-        BOOST_TEST(fleet.MostInWindow() <= fleet.Bound());
+        BOOST_TEST(fleet.MaxInWindow() <= fleet.MaxAllowedInWindow());
       }
     }
   }
 }
 
-// Upstreams turn away half of a flood that the contract lets in. What has not
-// run must leave its place to another request, and what runs stays within the
-// contract.
-BOOST_AUTO_TEST_CASE(RequestsThatDoNotRunLeaveTheirPlace) {
+// Upstreams reject half of a flood that the contract allows. A request that has
+// not run must leave its place to another request, and what runs stays within
+// the contract.
+BOOST_AUTO_TEST_CASE(RequestsThatDoNotRunFreeTheirPlace) {
   constexpr double kRate = 140;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       quota_fleet fleet(10, kRate, kRate, seed);
       fleet.SetEvenDemand(0.4 * kRate);
       fleet.Run(seconds(8));
-      fleet.SetNotRun(0.5);
+      fleet.SetNotRunFraction(0.5);
       fleet.SetEvenDemand(3.2 * kRate);
       const int before = fleet.Admitted();
       fleet.Run(seconds(10));
       BOOST_TEST(fleet.Admitted() - before >= 0.9 * kRate * 10);
-      BOOST_TEST(fleet.MostInWindow() <= fleet.Bound());
+      BOOST_TEST(fleet.MaxInWindow() <= fleet.MaxAllowedInWindow());
     }
   }
 }
 
-// One VM can't hear the others nor be heard, while the flood goes on through
-// all. What it lets in counts, too.
-BOOST_AUTO_TEST_CASE(AVmThatIsCutOffKeepsToItsPart) {
+// One VM neither receives nor delivers reports while the flood goes on through
+// all VMs. The requests that it admits count, too.
+BOOST_AUTO_TEST_CASE(IsolatedVmStaysWithinItsShare) {
   constexpr double kRate = 100;
   quota_fleet fleet(10, kRate, kRate, 4);
   fleet.SetEvenDemand(5 * kRate);
   fleet.Run(seconds(10));
-  fleet.Cut(3);
+  fleet.Isolate(3);
   fleet.Run(seconds(15));
-  BOOST_TEST(fleet.MostInWindow() <= fleet.Bound());
+  BOOST_TEST(fleet.MaxInWindow() <= fleet.MaxAllowedInWindow());
 }
 
 }  // namespace
