--- a/include/citron/protocol/share_holder.h
+++ b/include/citron/protocol/share_holder.h
@@ -17,36 +17,38 @@
 namespace citron {
 
 struct share_settings {
-  int floor_ppm = 950'000;  // Part of a VM's share that is its floor.
+  int floor_ppm = 950'000;  // Floor, as a fraction of a VM's share.
   duration lease = std::chrono::seconds(9);
-  // What clocks of two VMs may drift apart during one lease.
+  // Maximum drift between the clocks of two VMs during one lease.
   duration margin = std::chrono::seconds(1);
   duration renew_interval = std::chrono::seconds(3);
   duration reply_timeout = std::chrono::seconds(1);
-  // Silence after which a floor is given on.
+  // Time without a change of a suspect's entry after which its floor is
+  // released.
   duration floor_horizon = std::chrono::hours(6);
   // How long a loan granted under an earlier share may still be in use.
   duration loan_settle = std::chrono::milliseconds(2500);
 };
 
-// What the entries of this VM may use. Entries apply it at once and report it
-// applied; the parts end by themselves at their deadlines.
+// Share that the entries of this VM may use. Entries apply a change at once and
+// acknowledge it; floor and leased part expire at their deadlines.
 struct vm_share {
   int floor_ppm = 0;
   int leased_ppm = 0;
   monotonic_time leased_until{};
   monotonic_time floor_until{};
-  std::uint64_t sequence = 0;  // Grows with each grant; over restarts too.
+  // Increases with each grant, across restarts too.
+  std::uint64_t sequence = 0;
 };
 
 // Actions for the driver.
 struct read_table {};
 struct write_table {
   std::string json;
-  // The revision at which the table must still stand; 0: must not exist.
+  // Revision that the table must still have; 0 if the table must not exist.
   std::uint64_t expected_revision = 0;
-  // Names this write in OnCasResult, so that a late result of an earlier one
-  // isn't taken for its own.
+  // Identifies this write in OnCasResult, so that a late result of an earlier
+  // write isn't mistaken for the result of this one.
   std::uint64_t id = 0;
 };
 struct grant_changed {
@@ -55,7 +57,7 @@
 struct arm_timer {
   monotonic_time at{};  // Replaces the timer armed before.
 };
-// A graceful release has reached the table; the process may go.
+// A graceful release has reached the table; the process may exit.
 struct release_done {};
 
 using share_action = std::variant<read_table, write_table, grant_changed,
@@ -74,16 +76,15 @@
 struct cas_unknown {};
 using cas_result = std::variant<cas_ok, cas_conflict, cas_unknown>;
 
-// Holds this VM's share of the fleet's limits by way of the table in the
-// store: renews it, makes room for others, takes over what has lapsed. One for
-// each control process. Every event returns the actions to carry out, in
-// order. At most one read or write is out at a time.
-//
-// Reading the table renews the lease, for a time counted from before the read,
+// Manages this VM's share of the fleet's limits through the share table in the
+// store: renews the share, lowers it for joining VMs, and reclaims expired
+// parts. Each control process has one share_holder. Every event returns the
+// actions to carry out, in order. At most one read or write is in flight at a
+// time. Reading the table renews the lease, counted from before the read,
 // unless the VM's entry is marked as suspect. A VM that wants the leased part
-// of another marks its entry, waits for a lease and a margin by its own clock,
-// and takes the part if the mark still stands. The store must not answer reads
-// from a copy that lags.
+// of another VM marks that VM's entry, waits for a lease and a margin by its
+// own clock, and takes the part if the mark still stands. The store must not
+// answer reads from a stale replica.
 class share_holder {
  public:
   share_holder(vm_id vm, zone_id zone, std::uint64_t incarnation,
@@ -91,81 +92,86 @@
 
   share_actions Start(monotonic_time now);
   share_actions OnTimer(monotonic_time now);
-  // `json` is "" and `revision` 0 when the store has no table.
+  // `json` is "" and `revision` is 0 when the store has no table.
   share_actions OnTableRead(const std::string& json, std::uint64_t revision,
                             monotonic_time now);
   share_actions OnReadFailed(monotonic_time now);
-  // VMs that seem alive, by heartbeats or the platform's list. It may be
-  // wrong: another VM in the table is marked as suspect, and clears that.
+  // Sets the VMs that seem alive, by heartbeats or the platform's list. The set
+  // may be wrong: other VMs in the table are marked as suspect, and a live VM
+  // clears its mark.
   void OnMembership(const std::set<vm_id>& live);
   share_actions OnCasResult(std::uint64_t write_id, const cas_result& result,
                             monotonic_time now);
-  // VMs that an operator has declared dead; their parts are given on.
+  // Sets the VMs that an operator has declared dead; their shares are released
+  // to the others.
   share_actions OnGoneVms(const std::set<vm_id>& gone, monotonic_time now);
-  // All entry processes of this VM have applied the grant of this sequence, or
-  // a later one. A part is lowered in the table only after this.
+  // All entry processes of this VM have applied the grant with this sequence or
+  // a later one. The share in the table is lowered only after this.
   share_actions OnGrantApplied(std::uint64_t sequence, monotonic_time now);
-  // A graceful leave: stops the entries, then gives the share back.
+  // Starts a graceful release: stops the entries, then frees the share in the
+  // table.
   share_actions OnRelease(monotonic_time now);
 
   const vm_share& Share() const { return share_; }
-  // The table as last seen, for status pages.
+  // Returns the table as last read or written, for status pages.
   const share_table& Table() const { return table_; }
   bool IsReleased() const { return released_; }
 
  private:
   enum class phase { kIdle, kReading, kWriting };
 
-  struct parts {
+  struct share_split {
     int floor_ppm = 0;
     int leased_ppm = 0;
 
-    friend bool operator==(const parts&, const parts&) = default;
+    friend bool operator==(const share_split&, const share_split&) = default;
     int Sum() const { return floor_ppm + leased_ppm; }
-    // Needs nothing that `held` doesn't have, through an outage too.
-    bool IsWithin(const parts& held) const {
+    // Returns whether `held` covers this share, through a store outage too.
+    bool IsWithin(const share_split& held) const {
       return floor_ppm <= held.floor_ppm && Sum() <= held.Sum();
     }
   };
 
-  // Since when this VM has seen another's entry as it stands.
-  struct sighting {
+  // Entry of a VM, and since when this VM has seen the entry unchanged.
+  struct observed_entry {
     share_entry entry;
     monotonic_time since{};
   };
 
-  // The entries were told to use less; the table follows when they do.
-  struct lowering {
-    parts target;
-    std::uint64_t sequence = 0;         // Of the grant that told them.
-    monotonic_time leased_parts_end{};  // Of the grants before it.
+  // Reduction that the entries have been told; the table follows after they
+  // have applied it.
+  struct pending_reduction {
+    share_split target;
+    std::uint64_t sequence = 0;           // Of the reduced grant.
+    monotonic_time earlier_leases_end{};  // Of the earlier grants.
     std::optional<monotonic_time> applied_at;
   };
 
-  bool TakeTable(const std::string& json, std::uint64_t revision,
-                 monotonic_time now);
-  void RecordSightings(monotonic_time now);
+  bool AdoptTable(const std::string& json, std::uint64_t revision,
+                  monotonic_time now);
+  void RecordObservedEntries(monotonic_time now);
   duration UnchangedFor(const share_entry& entry, monotonic_time now) const;
-  bool IsLapsed(const share_entry& entry, monotonic_time now) const;
-  void ReclaimLapsed(share_table& next, monotonic_time now) const;
+  bool IsExpired(const share_entry& entry, monotonic_time now) const;
+  void ReclaimExpired(share_table& next, monotonic_time now) const;
   void MarkSuspects(share_table& next, monotonic_time now) const;
-  static parts Least(const parts& a, const parts& b);
-  parts FairParts(const share_table& next, monotonic_time now) const;
-  parts NextParts(const share_table& next, monotonic_time now,
-                  share_actions& actions);
-  void Lower(const parts& target, share_actions& actions);
-  bool MayLowerTable(const parts& held, monotonic_time now) const;
-  void Read(monotonic_time now, share_actions& actions);
-  void OnTable(monotonic_time now, share_actions& actions);
+  static share_split Minimum(const share_split& a, const share_split& b);
+  share_split FairShare(const share_table& next, monotonic_time now) const;
+  share_split NextShare(const share_table& next, monotonic_time now,
+                        share_actions& actions);
+  void LowerShare(const share_split& target, share_actions& actions);
+  bool CanLowerTable(const share_split& held, monotonic_time now) const;
+  void StartRead(monotonic_time now, share_actions& actions);
+  void ProcessTable(monotonic_time now, share_actions& actions);
   void Renew(share_actions& actions);
   share_table NextTable(monotonic_time now, share_actions& actions);
-  void Write(share_table next, monotonic_time now, share_actions& actions);
+  void StartWrite(share_table next, monotonic_time now, share_actions& actions);
   bool CheckOwnEntry(share_actions& actions);
-  void GiveUpShare(share_actions& actions);
-  void Grant(const parts& granted, share_actions& actions);
+  void DropShare(share_actions& actions);
+  void Grant(const share_split& granted, share_actions& actions);
   void OnFailure(monotonic_time now, share_actions& actions);
   void FinishRound(monotonic_time now, share_actions& actions);
-  void ReadWithin(duration d, monotonic_time now, share_actions& actions);
+  void ScheduleReadWithin(duration d, monotonic_time now,
+                          share_actions& actions);
   void Arm(monotonic_time at, share_actions& actions);
   duration Jittered(duration around);
 
@@ -176,24 +182,24 @@
   pcg32 random_;
 
   phase phase_ = phase::kIdle;
-  monotonic_time asked_at_{};  // When the read or write that is out began.
+  monotonic_time requested_at_{};  // When the read or write in flight began.
   monotonic_time next_read_at_{};
-  int failures_ = 0;   // Reads and writes without a result, in a row.
-  int conflicts_ = 0;  // Writes that lost, in a row.
+  int failures_ = 0;   // Consecutive reads and writes without a result.
+  int conflicts_ = 0;  // Consecutive writes that lost.
 
   share_table table_;
   std::uint64_t revision_ = 0;
-  std::map<vm_id, sighting> sightings_;
+  std::map<vm_id, observed_entry> observed_entries_;
   std::optional<std::set<vm_id>> live_;
-  std::map<vm_id, monotonic_time> gone_;  // Since when we know.
-  share_table written_;                   // What the write that is out holds.
+  std::map<vm_id, monotonic_time> declared_dead_;  // Since when this VM knows.
+  share_table pending_write_;  // Table in the write in flight.
   std::uint64_t write_id_ = 0;
 
   vm_share share_;
-  // The end of every leased part that this VM's entries were ever granted, by
-  // an earlier process too.
-  monotonic_time leased_parts_end_{};
-  std::optional<lowering> lowering_;
+  // End of every leased part ever granted to this VM's entries, by an earlier
+  // process too.
+  monotonic_time granted_leases_end_{};
+  std::optional<pending_reduction> pending_reduction_;
   bool joined_ = false;  // The table has had an entry of this incarnation.
   bool releasing_ = false;
   bool released_ = false;
--- a/src/protocol/share_holder.cc
+++ b/src/protocol/share_holder.cc
@@ -10,29 +10,29 @@
 
 namespace {
 
-// The table counts in signed 64 bits.
+// The table stores counts as signed 64-bit numbers.
 constexpr std::uint64_t kCountMask = std::numeric_limits<std::int64_t>::max();
 
-// Back-off after a read or write without a result: doubled for each failure
-// in a row up to the renewal interval. When the store returns after an outage
-// all VMs ask within one interval, not at once.
-constexpr duration kFirstRetry = std::chrono::milliseconds(200);
+// Backoff after a read or write without a result: doubled for each consecutive
+// failure up to the renewal interval. When the store returns after an outage,
+// the requests of all VMs spread over one interval.
+constexpr duration kInitialRetryDelay = std::chrono::milliseconds(200);
 constexpr int kMaxDoublings = 6;
 
-// Between attempts that lost to another writer. At fleet start and after an
-// outage many VMs write at once; of each round one wins, so the rest spread
-// out.
-constexpr duration kConflictPause = std::chrono::milliseconds(50);
-constexpr int kConflictsBeforePause = 4;
+// Delay between attempts that lost to another writer. At fleet start and after
+// an outage many VMs write at once, and one write wins each round, so the other
+// VMs spread out.
+constexpr duration kConflictDelay = std::chrono::milliseconds(50);
+constexpr int kImmediateConflictRetries = 4;
 
-// A VM that joins first writes an empty entry and takes its part this much
-// later: VMs that start together then see each other before any of them takes
-// the whole, which the others would have to wait for.
-constexpr duration kJoinPause = std::chrono::seconds(1);
+// A joining VM first writes an empty entry and takes its share after this
+// delay. VMs that start together then see each other before any of them takes
+// the whole, for which the others would have to wait.
+constexpr duration kJoinDelay = std::chrono::seconds(1);
 
-// The two ends of the random factor on intervals.
-constexpr double kLeastJitter = 0.8;
-constexpr double kMostJitter = 1.2;
+// Bounds of the random factor on intervals.
+constexpr double kMinJitterFactor = 0.8;
+constexpr double kMaxJitterFactor = 1.2;
 
 }  // namespace
 
@@ -47,29 +47,30 @@
 }
 
 share_actions share_holder::Start(monotonic_time now) {
-  // An earlier control process may have granted up to now.
-  leased_parts_end_ = now + settings_.lease;
-  // Above every number of an earlier process of this VM, by the clock that
-  // they share: an entry's word that it applied a grant of that one may still
-  // be under way, and must not count for a later grant of ours.
+  // An earlier control process may have granted a lease up to now.
+  granted_leases_end_ = now + settings_.lease;
+  // Starts above every sequence of an earlier process of this VM, by the clock
+  // that the processes share. An acknowledgement of a grant of the earlier
+  // process may still be in flight and must not count for a later grant of this
+  // process.
   share_.sequence = static_cast<std::uint64_t>(now.time_since_epoch().count());
   share_actions actions;
-  Read(now, actions);
+  StartRead(now, actions);
   return actions;
 }
 
 share_actions share_holder::OnTimer(monotonic_time now) {
   share_actions actions;
-  if (released_ || gone_.contains(vm_)) return actions;
+  if (released_ || declared_dead_.contains(vm_)) return actions;
   if (phase_ == phase::kIdle) {
     if (now >= next_read_at_) {
-      Read(now, actions);
+      StartRead(now, actions);
     } else {
       Arm(next_read_at_, actions);
     }
     return actions;
   }
-  const monotonic_time reply_deadline = asked_at_ + settings_.reply_timeout;
+  const monotonic_time reply_deadline = requested_at_ + settings_.reply_timeout;
   if (now >= reply_deadline) {
     OnFailure(now, actions);
   } else {
@@ -83,8 +84,8 @@
                                         monotonic_time now) {
   share_actions actions;
   if (phase_ != phase::kReading || released_) return actions;
-  if (TakeTable(json, revision, now)) {
-    OnTable(now, actions);
+  if (AdoptTable(json, revision, now)) {
+    ProcessTable(now, actions);
   } else {
     OnFailure(now, actions);
   }
@@ -99,20 +100,20 @@
 
 void share_holder::OnMembership(const std::set<vm_id>& live) { live_ = live; }
 
-// A write whose result is lost may have taken effect, or may do so later. Both
-// are found out by the next read, and neither can do harm: it asks only for
-// what was ours to ask for at its revision, and we use a part only after we
-// have seen it in the table.
+// A write whose result is lost may have taken effect, or may take effect later.
+// The next read detects both, and neither does harm: the write requests only
+// what this VM could claim at its revision, and a part is used only after this
+// VM has seen it in the table.
 share_actions share_holder::OnCasResult(std::uint64_t write_id,
                                         const cas_result& result,
                                         monotonic_time now) {
   share_actions actions;
-  // Late, of a write that was given up.
+  // Late result of an abandoned write.
   if (phase_ != phase::kWriting || write_id != write_id_) return actions;
   if (const auto* ok = std::get_if<cas_ok>(&result)) {
-    table_ = written_;
+    table_ = pending_write_;
     revision_ = ok->revision;
-    RecordSightings(now);
+    RecordObservedEntries(now);
     conflicts_ = 0;
     Renew(actions);
     FinishRound(now, actions);
@@ -120,42 +121,44 @@
   }
   const auto* conflict = std::get_if<cas_conflict>(&result);
   if (conflict == nullptr ||
-      !TakeTable(conflict->json, conflict->revision, now)) {
+      !AdoptTable(conflict->json, conflict->revision, now)) {
     OnFailure(now, actions);
     return actions;
   }
-  // As good as a read, and the quickest way to win the next time.
+  // A conflict returns the current table, which serves as a read; writing again
+  // at once is the quickest way to win.
   ++conflicts_;
-  OnTable(now, actions);
+  ProcessTable(now, actions);
   return actions;
 }
 
 share_actions share_holder::OnGoneVms(const std::set<vm_id>& gone,
                                       monotonic_time now) {
   share_actions actions;
-  const bool was_gone = gone_.contains(vm_);
-  std::erase_if(gone_,
+  const bool was_declared_dead = declared_dead_.contains(vm_);
+  std::erase_if(declared_dead_,
                 [&](const auto& item) { return !gone.contains(item.first); });
-  for (const vm_id& vm : gone) gone_.try_emplace(vm, now);
+  for (const vm_id& vm : gone) declared_dead_.try_emplace(vm, now);
   if (released_) return actions;
-  // Others give our parts on now: whatever our reasons to think that we live,
-  // using them on would double them.
-  if (gone_.contains(vm_)) {
-    if (!was_gone) GiveUpShare(actions);
+  // Other VMs now take over the share of this VM. Even if this process is
+  // alive, using the share further would double it.
+  if (declared_dead_.contains(vm_)) {
+    if (!was_declared_dead) DropShare(actions);
     return actions;
   }
-  if (was_gone) Read(now, actions);
+  if (was_declared_dead) StartRead(now, actions);
   return actions;
 }
 
 share_actions share_holder::OnGrantApplied(std::uint64_t sequence,
                                            monotonic_time now) {
   share_actions actions;
-  if (!lowering_ || lowering_->applied_at || sequence < lowering_->sequence) {
+  if (!pending_reduction_ || pending_reduction_->applied_at ||
+      sequence < pending_reduction_->sequence) {
     return actions;
   }
-  lowering_->applied_at = now;
-  ReadWithin(settings_.loan_settle, now, actions);
+  pending_reduction_->applied_at = now;
+  ScheduleReadWithin(settings_.loan_settle, now, actions);
   return actions;
 }
 
@@ -163,81 +166,80 @@
   share_actions actions;
   if (releasing_ || released_) return actions;
   releasing_ = true;
-  Lower(parts{}, actions);
-  ReadWithin(settings_.loan_settle, now, actions);
+  LowerShare(share_split{}, actions);
+  ScheduleReadWithin(settings_.loan_settle, now, actions);
   return actions;
 }
 
-// Says whether the table can be used.
-bool share_holder::TakeTable(const std::string& json, std::uint64_t revision,
-                             monotonic_time now) {
+// Returns whether the table can be used.
+bool share_holder::AdoptTable(const std::string& json, std::uint64_t revision,
+                              monotonic_time now) {
   result<share_table> parsed = ParseShareTable(json);
-  // Somebody else wrote over the table. Our own writes would hide it, and
-  // could count parts twice; the parts we have end by themselves.
+  // The table was overwritten with invalid data. A write of this VM would hide
+  // that and could count parts twice; the parts held now expire by themselves.
   if (!IsOk(parsed)) return false;
-  // Answered by a copy that lags: it may lack a mark that stands.
+  // A stale replica answered: its table may lack a mark that stands.
   if (revision < revision_) return false;
   table_ = std::move(ValueOf(parsed));
   revision_ = revision;
-  RecordSightings(now);
+  RecordObservedEntries(now);
   return true;
 }
 
-void share_holder::RecordSightings(monotonic_time now) {
-  std::map<vm_id, sighting> next;
+void share_holder::RecordObservedEntries(monotonic_time now) {
+  std::map<vm_id, observed_entry> next;
   for (const share_entry& entry : table_.entries) {
-    const auto before = sightings_.find(entry.vm);
+    const auto before = observed_entries_.find(entry.vm);
     const bool is_same =
-        before != sightings_.end() && before->second.entry == entry;
+        before != observed_entries_.end() && before->second.entry == entry;
     next.emplace(entry.vm,
-                 sighting{entry, is_same ? before->second.since : now});
+                 observed_entry{entry, is_same ? before->second.since : now});
   }
-  sightings_ = std::move(next);
+  observed_entries_ = std::move(next);
 }
 
 duration share_holder::UnchangedFor(const share_entry& entry,
                                     monotonic_time now) const {
-  const auto seen = sightings_.find(entry.vm);
-  if (seen == sightings_.end()) return duration::zero();
+  const auto seen = observed_entries_.find(entry.vm);
+  if (seen == observed_entries_.end()) return duration::zero();
   return now - seen->second.since;
 }
 
-// A holder that read the table before the mark was set counts its lease from
-// before that read, so it has ended a lease after the mark by any clock; one
-// that reads it later sees the mark and renews nothing. We count from when we
-// first saw the mark, which is later still.
-bool share_holder::IsLapsed(const share_entry& entry,
-                            monotonic_time now) const {
+// A VM that read the table before the mark was set counts its lease from before
+// that read, so the lease has ended one lease after the mark by any clock. A VM
+// that reads the table later sees the mark and renews nothing. This VM counts
+// from when it first saw the mark, which is later still.
+bool share_holder::IsExpired(const share_entry& entry,
+                             monotonic_time now) const {
   return entry.is_suspect && entry.vm != vm_ &&
          UnchangedFor(entry, now) >= settings_.lease + settings_.margin;
 }
 
-// Frees what nobody uses any more. The write that carries it is a
-// compare-and-swap on the revision at which the marks stood, so a VM that
-// clears its own in between makes it fail.
-//
-// A floor outlives a list of VMs that has lost its entry: a zone that is cut
-// off vanishes from the list while it goes on serving. Taken too early, its
-// workspaces would get their rate on both sides of the cut.
-void share_holder::ReclaimLapsed(share_table& next, monotonic_time now) const {
+// Frees the parts that no VM uses any more. The write is a compare-and-swap on
+// the revision at which the marks stood, so it fails if a VM clears its own
+// mark in between. A floor stays while a VM is merely missing from the list of
+// VMs: a zone that is cut off vanishes from the list while it goes on serving.
+// If the floor were taken too early, the zone's workspaces would get their rate
+// on both sides of the cut.
+void share_holder::ReclaimExpired(share_table& next, monotonic_time now) const {
   const duration horizon = settings_.floor_horizon + settings_.margin;
   std::erase_if(next.entries, [&](const share_entry& entry) {
-    const auto gone = gone_.find(entry.vm);
-    // The dead VM's loans may still be in use for a moment.
-    if (gone != gone_.end()) {
+    const auto gone = declared_dead_.find(entry.vm);
+    // The loans of the dead VM may still be in use for a moment.
+    if (gone != declared_dead_.end()) {
       return now >= gone->second + settings_.loan_settle;
     }
-    if (!IsLapsed(entry, now)) return false;
+    if (!IsExpired(entry, now)) return false;
     return entry.floor_ppm == 0 || UnchangedFor(entry, now) >= horizon;
   });
   for (share_entry& entry : next.entries) {
-    if (IsLapsed(entry, now)) entry.leased_ppm = 0;
+    if (IsExpired(entry, now)) entry.leased_ppm = 0;
   }
 }
 
-// An entry that was cleared a moment ago isn't marked again at once: a VM that
-// is missing from our list of the living, but reads the store, would go on
-// clearing and we on marking.
+// An entry that was cleared recently is not marked again at once: a VM that is
+// missing from the list of live VMs, but reads the store, would otherwise be
+// marked and clear its mark endlessly.
 void share_holder::MarkSuspects(share_table& next, monotonic_time now) const {
   if (!live_) return;
   for (share_entry& entry : next.entries) {
@@ -248,20 +250,21 @@
   }
 }
 
-// The least of both, floor and sum each.
-share_holder::parts share_holder::Least(const parts& a, const parts& b) {
+// Returns the minimum of both floors and of both sums.
+share_holder::share_split share_holder::Minimum(const share_split& a,
+                                                const share_split& b) {
   const int floor = std::min(a.floor_ppm, b.floor_ppm);
-  return parts{floor, std::min(a.Sum(), b.Sum()) - floor};
+  return share_split{floor, std::min(a.Sum(), b.Sum()) - floor};
 }
 
-// Equal parts of what silent VMs' floors leave. Uneven demand is the loans'
-// matter: they follow it in milliseconds, the table in seconds.
-share_holder::parts share_holder::FairParts(const share_table& next,
-                                            monotonic_time now) const {
+// Returns an equal share of what the floors of expired VMs leave. Loans handle
+// uneven demand: they follow it in milliseconds, the table in seconds.
+share_holder::share_split share_holder::FairShare(const share_table& next,
+                                                  monotonic_time now) const {
   int live = 0;
   int available = kWholePpm;
   for (const share_entry& entry : next.entries) {
-    if (IsLapsed(entry, now)) {
+    if (IsExpired(entry, now)) {
       available -= entry.floor_ppm;
     } else {
       ++live;
@@ -270,63 +273,69 @@
   const int sum = available / std::max(live, 1);
   const auto floor =
       static_cast<int>(std::int64_t{sum} * settings_.floor_ppm / kWholePpm);
-  return parts{floor, sum - floor};
+  return share_split{floor, sum - floor};
 }
 
-// The parts that this VM writes for itself: never more than it has plus what
-// is free, never less than its entries may still be using.
-share_holder::parts share_holder::NextParts(const share_table& next,
-                                            monotonic_time now,
-                                            share_actions& actions) {
+// Returns the share that this VM writes for itself: at most what it holds plus
+// what is free, and at least what its entries may still be using.
+share_holder::share_split share_holder::NextShare(const share_table& next,
+                                                  monotonic_time now,
+                                                  share_actions& actions) {
   const share_entry* own = next.Find(vm_);
-  const parts held =
-      own != nullptr ? parts{own->floor_ppm, own->leased_ppm} : parts{};
-  // What an earlier process of this VM left is taken over as it is.
+  const share_split held = own != nullptr
+                               ? share_split{own->floor_ppm, own->leased_ppm}
+                               : share_split{};
+  // The share that an earlier process of this VM left is taken over unchanged.
   if (!joined_) return held;
-  const parts fair = FairParts(next, now);
-  if (lowering_ && MayLowerTable(held, now)) return lowering_->target;
-  if (lowering_ || fair.floor_ppm < held.floor_ppm || fair.Sum() < held.Sum()) {
-    Lower(Least(fair, held), actions);
-    return MayLowerTable(held, now) ? lowering_->target : held;
+  const share_split fair = FairShare(next, now);
+  if (pending_reduction_ && CanLowerTable(held, now))
+    return pending_reduction_->target;
+  if (pending_reduction_ || fair.floor_ppm < held.floor_ppm ||
+      fair.Sum() < held.Sum()) {
+    LowerShare(Minimum(fair, held), actions);
+    return CanLowerTable(held, now) ? pending_reduction_->target : held;
   }
   const int sum = std::min(fair.Sum(), held.Sum() + next.FreePpm());
   const int floor = std::min(fair.floor_ppm, sum);
-  return parts{floor, sum - floor};
+  return share_split{floor, sum - floor};
 }
 
-// An entry process that is paused, or hears late, goes on using the larger
-// part. If the table gave it to a joining VM already, both would use it and a
-// workspace would get more than its rate. So the entries come first, and the
-// table follows when they have said that they use less and the loans they
-// made of the larger part have ended.
-void share_holder::Lower(const parts& target, share_actions& actions) {
-  if (lowering_ && lowering_->target.IsWithin(target)) return;
-  const parts lowest = lowering_ ? Least(target, lowering_->target) : target;
-  Grant(Least({share_.floor_ppm, share_.leased_ppm}, lowest), actions);
-  lowering_ =
-      lowering{lowest, share_.sequence, leased_parts_end_, std::nullopt};
-}
-
-bool share_holder::MayLowerTable(const parts& held, monotonic_time now) const {
-  if (lowering_->applied_at &&
-      now >= *lowering_->applied_at + settings_.loan_settle) {
+// An entry process that is paused, or receives the change late, goes on using
+// the larger share. If the table already gave the difference to a joining VM,
+// both would use it and a workspace would get more than its rate. So the
+// entries are lowered first, and the table follows after they have acknowledged
+// the change and the loans made of the larger share have ended.
+void share_holder::LowerShare(const share_split& target,
+                              share_actions& actions) {
+  if (pending_reduction_ && pending_reduction_->target.IsWithin(target)) return;
+  const share_split lowest =
+      pending_reduction_ ? Minimum(target, pending_reduction_->target) : target;
+  Grant(Minimum({share_.floor_ppm, share_.leased_ppm}, lowest), actions);
+  pending_reduction_ = pending_reduction{lowest, share_.sequence,
+                                         granted_leases_end_, std::nullopt};
+}
+
+bool share_holder::CanLowerTable(const share_split& held,
+                                 monotonic_time now) const {
+  if (pending_reduction_->applied_at &&
+      now >= *pending_reduction_->applied_at + settings_.loan_settle) {
     return true;
   }
-  // Entries that never answered have stopped using the leased part by
-  // themselves; their loans of it ended before.
-  return lowering_->target.floor_ppm >= held.floor_ppm &&
-         now >= lowering_->leased_parts_end;
+  // Entries that never answered have stopped using the leased part at its end,
+  // and their loans of it ended before.
+  return pending_reduction_->target.floor_ppm >= held.floor_ppm &&
+         now >= pending_reduction_->earlier_leases_end;
 }
 
-void share_holder::Read(monotonic_time now, share_actions& actions) {
+void share_holder::StartRead(monotonic_time now, share_actions& actions) {
   actions.emplace_back(read_table{});
   phase_ = phase::kReading;
-  asked_at_ = now;
+  requested_at_ = now;
   Arm(now + settings_.reply_timeout, actions);
 }
 
-// The table as it stood at some moment after asked_at_.
-void share_holder::OnTable(monotonic_time now, share_actions& actions) {
+// Processes the table as it stood at some moment after requested_at_.
+void share_holder::ProcessTable(monotonic_time now, share_actions& actions) {
   const bool lost_a_write = phase_ == phase::kWriting;
   phase_ = phase::kIdle;
   failures_ = 0;
@@ -338,46 +347,48 @@
     FinishRound(now, actions);
     return;
   }
-  // The first conflicts are the rule when many write at once. Only a crowd
-  // that goes on is worth a pause, after which the table is read afresh.
-  if (lost_a_write && conflicts_ >= kConflictsBeforePause) {
-    const int doublings = std::min(conflicts_ - kConflictsBeforePause, 5);
-    next_read_at_ = now + Jittered(kConflictPause * (1 << doublings));
+  // The first conflicts are normal when many VMs write at once. Only continued
+  // contention needs a delay, after which the table is read again.
+  if (lost_a_write && conflicts_ >= kImmediateConflictRetries) {
+    const int doublings = std::min(conflicts_ - kImmediateConflictRetries, 5);
+    next_read_at_ = now + Jittered(kConflictDelay * (1 << doublings));
     Arm(next_read_at_, actions);
     return;
   }
-  Write(std::move(next), now, actions);
+  StartWrite(std::move(next), now, actions);
 }
 
-// The table held our entry at some moment after we asked, so it is ours from
-// when we asked.
+// Renews the lease from `requested_at_`: the table held this VM's entry at some
+// moment after that.
 void share_holder::Renew(share_actions& actions) {
   const share_entry* own = table_.Find(vm_);
   if (own == nullptr || own->incarnation != incarnation_) return;
   joined_ = true;
   if (own->is_suspect) return;
-  parts granted{own->floor_ppm, own->leased_ppm};
-  if (lowering_) {
-    if (granted.IsWithin(lowering_->target) && !releasing_) {
-      lowering_.reset();
+  share_split granted{own->floor_ppm, own->leased_ppm};
+  if (pending_reduction_) {
+    if (granted.IsWithin(pending_reduction_->target) && !releasing_) {
+      pending_reduction_.reset();
     } else {
-      granted = Least(granted, lowering_->target);
+      granted = Minimum(granted, pending_reduction_->target);
     }
   }
-  share_.leased_until = asked_at_ + settings_.lease;
-  share_.floor_until = asked_at_ + settings_.floor_horizon;
-  leased_parts_end_ = std::max(leased_parts_end_, share_.leased_until);
+  share_.leased_until = requested_at_ + settings_.lease;
+  share_.floor_until = requested_at_ + settings_.floor_horizon;
+  granted_leases_end_ = std::max(granted_leases_end_, share_.leased_until);
   Grant(granted, actions);
 }
 
-// What the table should be; the table as it is when all is well.
+// Returns the table that should be stored; the current table if no change is
+// needed.
 share_table share_holder::NextTable(monotonic_time now,
                                     share_actions& actions) {
   share_table next = table_;
-  ReclaimLapsed(next, now);
+  ReclaimExpired(next, now);
   MarkSuspects(next, now);
-  const parts own = NextParts(next, now, actions);
-  if (releasing_ && lowering_->target == own && MayLowerTable(own, now)) {
+  const share_split own = NextShare(next, now, actions);
+  if (releasing_ && pending_reduction_->target == own &&
+      CanLowerTable(own, now)) {
     next.Remove(vm_);
     return next;
   }
@@ -393,38 +404,38 @@
   return next;
 }
 
-void share_holder::Write(share_table next, monotonic_time now,
-                         share_actions& actions) {
+void share_holder::StartWrite(share_table next, monotonic_time now,
+                              share_actions& actions) {
   ++write_id_;
   actions.emplace_back(
       write_table{EncodeShareTable(next), revision_, write_id_});
-  written_ = std::move(next);
+  pending_write_ = std::move(next);
   phase_ = phase::kWriting;
-  asked_at_ = now;
+  requested_at_ = now;
   Arm(now + settings_.reply_timeout, actions);
 }
 
-// Says whether this process may go on writing the VM's entry.
+// Returns whether this process may go on writing the VM's entry.
 bool share_holder::CheckOwnEntry(share_actions& actions) {
   if (!joined_) return true;
   const share_entry* own = table_.Find(vm_);
   if (own != nullptr && own->incarnation == incarnation_) return true;
-  GiveUpShare(actions);
-  // A newer process of this VM has the entry, so this one is a leftover.
-  // Without an entry, the VM was declared dead or was silent past the horizon
-  // and joins again.
+  DropShare(actions);
+  // If a newer process of this VM has the entry, this process is obsolete. If
+  // the entry is missing, the VM was declared dead or was silent past the
+  // horizon, and joins again.
   released_ = own != nullptr;
   return !released_;
 }
 
-void share_holder::GiveUpShare(share_actions& actions) {
-  lowering_.reset();
+void share_holder::DropShare(share_actions& actions) {
+  pending_reduction_.reset();
   joined_ = false;
   phase_ = phase::kIdle;
-  Grant(parts{}, actions);
+  Grant(share_split{}, actions);
 }
 
-void share_holder::Grant(const parts& granted, share_actions& actions) {
+void share_holder::Grant(const share_split& granted, share_actions& actions) {
   share_.floor_ppm = granted.floor_ppm;
   share_.leased_ppm = granted.leased_ppm;
   ++share_.sequence;
@@ -436,12 +447,12 @@
   const int doublings = std::min(failures_, kMaxDoublings);
   ++failures_;
   const duration pause =
-      std::min(settings_.renew_interval, kFirstRetry * (1 << doublings));
+      std::min(settings_.renew_interval, kInitialRetryDelay * (1 << doublings));
   next_read_at_ = now + Jittered(pause);
   Arm(next_read_at_, actions);
 }
 
-// All that is to be done now is done.
+// Ends the current round and schedules the next read.
 void share_holder::FinishRound(monotonic_time now, share_actions& actions) {
   phase_ = phase::kIdle;
   if (releasing_ && table_.Find(vm_) == nullptr) {
@@ -449,21 +460,21 @@
     actions.emplace_back(release_done{});
     return;
   }
-  const bool is_waiting = share_.floor_ppm + share_.leased_ppm == 0;
+  const bool has_no_share = share_.floor_ppm + share_.leased_ppm == 0;
   next_read_at_ =
-      now + Jittered(is_waiting && !releasing_ ? kJoinPause
-                                               : settings_.renew_interval);
-  if (lowering_ && lowering_->applied_at) {
+      now + Jittered(has_no_share && !releasing_ ? kJoinDelay
+                                                 : settings_.renew_interval);
+  if (pending_reduction_ && pending_reduction_->applied_at) {
     const monotonic_time settled =
-        *lowering_->applied_at + settings_.loan_settle;
+        *pending_reduction_->applied_at + settings_.loan_settle;
     next_read_at_ = std::max(now, std::min(next_read_at_, settled));
   }
   Arm(next_read_at_, actions);
 }
 
-// While the store doesn't answer, the back-off stands.
-void share_holder::ReadWithin(duration d, monotonic_time now,
-                              share_actions& actions) {
+// While the store doesn't answer, the backoff stays in force.
+void share_holder::ScheduleReadWithin(duration d, monotonic_time now,
+                                      share_actions& actions) {
   if (phase_ != phase::kIdle || failures_ > 0) return;
   next_read_at_ = std::min(next_read_at_, now + d);
   Arm(next_read_at_, actions);
@@ -474,7 +485,8 @@
 }
 
 duration share_holder::Jittered(duration around) {
-  std::uniform_real_distribution<double> factor(kLeastJitter, kMostJitter);
+  std::uniform_real_distribution<double> factor(kMinJitterFactor,
+                                                kMaxJitterFactor);
   return FromSeconds(ToSeconds(around) * factor(random_));
 }
 
--- a/tests/protocol/share_holder_test.cc
+++ b/tests/protocol/share_holder_test.cc
@@ -31,7 +31,7 @@
   return nullptr;
 }
 
-// The store and the clock of one holder, with all answers by hand.
+// Store and clock of one share_holder; each test gives all answers.
 struct fixture {
   fixture() { Make({}); }
 
@@ -54,18 +54,18 @@
     own.leased_ppm = leased;
     return own;
   }
-  // Asks for the table at `asked` and gets it at `answered`.
-  share_actions Read(double asked, double answered) {
-    if (asked == 0) {
+  // Starts a read at `requested` and delivers the table at `answered`.
+  share_actions Read(double requested, double answered) {
+    if (requested == 0) {
       holder->Start(At(0));
     } else {
-      BOOST_REQUIRE(Find<citron::read_table>(holder->OnTimer(At(asked))));
+      BOOST_REQUIRE(Find<citron::read_table>(holder->OnTimer(At(requested))));
     }
     return holder->OnTableRead(EncodeShareTable(table), ++revision,
                                At(answered));
   }
-  // Carries out a write, if there is one.
-  share_actions Accept(const share_actions& actions, double answered) {
+  // Applies the write in `actions`, if any, and reports success.
+  share_actions ApplyWrite(const share_actions& actions, double answered) {
     const auto* write = Find<citron::write_table>(actions);
     if (write == nullptr) return {};
     const auto parsed = citron::ParseShareTable(write->json);
@@ -85,16 +85,16 @@
 }  // namespace
 
 BOOST_FIXTURE_TEST_CASE(FirstVmJoinsAndTakesTheWhole, fixture) {
-  Accept(Read(0, 0.1), 0.2);
+  ApplyWrite(Read(0, 0.1), 0.2);
   BOOST_TEST(Granted() == 0);
-  Accept(Read(2, 2.1), 2.2);
+  ApplyWrite(Read(2, 2.1), 2.2);
   BOOST_TEST(Granted() == citron::kWholePpm);
   BOOST_TEST(table.FreePpm() == 0);
 }
 
-// The answer of the store takes almost as long as the lease. A holder that
-// counted from the answer would use its part after another has taken it.
-BOOST_FIXTURE_TEST_CASE(LeaseCountsFromBeforeTheQuestion, fixture) {
+// The store's answer takes almost as long as the lease. A VM that counted the
+// lease from the answer would use its part after another VM has taken it.
+BOOST_FIXTURE_TEST_CASE(LeaseCountsFromBeforeTheRead, fixture) {
   Own(500'000, 100'000);
   Entry("other") = {.vm = vm_id("other"), .floor_ppm = 400'000};
   Read(0, 0.9);
@@ -103,11 +103,11 @@
       (holder->Share().floor_until == At(0) + share_settings{}.floor_horizon));
 }
 
-// Another VM thinks that this one is dead and waits for its lease to end. A
-// renewal in that time would not be seen by the other.
-BOOST_FIXTURE_TEST_CASE(ReadingRenewsNothingWhileSuspect, fixture) {
+// Another VM suspects that this VM is dead and waits for its lease to end. That
+// VM could not see a renewal in that time.
+BOOST_FIXTURE_TEST_CASE(ReadRenewsNothingWhileSuspect, fixture) {
   Own(500'000, 500'000);
-  Accept(Read(0, 0.1), 0.2);
+  ApplyWrite(Read(0, 0.1), 0.2);
   const monotonic_time until = holder->Share().leased_until;
   Own(500'000, 500'000).is_suspect = true;
   const share_actions actions = Read(5, 5.1);
@@ -116,35 +116,35 @@
   BOOST_REQUIRE(write != nullptr);
   const auto cleared = citron::ParseShareTable(write->json);
   BOOST_TEST(!ValueOf(cleared).Find(vm_id("me"))->is_suspect);
-  Accept(actions, 5.3);
+  ApplyWrite(actions, 5.3);
   BOOST_TEST(
       (holder->Share().leased_until == At(5.1) + share_settings{}.lease));
 }
 
-// A VM dies. Its callers are served by the others, which need its part; but
-// it may also be cut off and serving, so that the leased part is free only
-// after it has ended there, and the floor not at all.
+// The other VMs serve a dead VM's callers and need its share. The VM may also
+// be cut off and still serving, so its leased part is free only after it has
+// expired there, and its floor is not free at all.
 BOOST_FIXTURE_TEST_CASE(LeasedPartOfSilentVmIsTakenAfterLeaseAndMargin,
                         fixture) {
   Own(400'000, 100'000);
   Entry("dead") = {
       .vm = vm_id("dead"), .floor_ppm = 400'000, .leased_ppm = 100'000};
   holder->OnMembership({vm_id("me")});
-  Accept(Read(0, 0.1), 0.2);
+  ApplyWrite(Read(0, 0.1), 0.2);
   BOOST_TEST(!table.Find(vm_id("dead"))->is_suspect);
-  Accept(Read(9.5, 9.6), 9.7);
+  ApplyWrite(Read(9.5, 9.6), 9.7);
   BOOST_REQUIRE(table.Find(vm_id("dead"))->is_suspect);
-  Accept(Read(19.5, 19.6), 19.7);
+  ApplyWrite(Read(19.5, 19.6), 19.7);
   BOOST_TEST(table.Find(vm_id("dead"))->leased_ppm == 100'000);
-  Accept(Read(23.5, 23.6), 23.8);
+  ApplyWrite(Read(23.5, 23.6), 23.8);
   BOOST_TEST(table.Find(vm_id("dead"))->leased_ppm == 0);
   BOOST_TEST(table.Find(vm_id("dead"))->floor_ppm == 400'000);
   BOOST_TEST(Granted() == 600'000);
 }
 
-// The VM that was taken for dead comes back between the read and the write
-// of the one that wants its part.
-BOOST_FIXTURE_TEST_CASE(TakingLosesToAClearedMark, fixture) {
+// A suspect clears its mark between the read and the write of the VM that wants
+// its part.
+BOOST_FIXTURE_TEST_CASE(ClearedMarkPreventsTakingThePart, fixture) {
   Own(400'000, 100'000);
   share_entry dead{.vm = vm_id("dead"),
                    .floor_ppm = 400'000,
@@ -152,7 +152,7 @@
                    .is_suspect = true};
   Entry("dead") = dead;
   holder->OnMembership({vm_id("me")});
-  Accept(Read(0, 0.1), 0.2);
+  ApplyWrite(Read(0, 0.1), 0.2);
   const share_actions actions = Read(11, 11.1);
   const auto* write = Find<citron::write_table>(actions);
   BOOST_REQUIRE(write != nullptr);
@@ -164,45 +164,46 @@
   BOOST_TEST(Granted() == 500'000);
 }
 
-// A VM joins. If the table gave it a part before the entries here have let go
-// of it, both would use it.
+// A VM joins. If the table gave it a part before the entries of this VM have
+// stopped using that part, both VMs would use it.
 BOOST_FIXTURE_TEST_CASE(TableIsLoweredAfterTheEntriesAndTheirLoans, fixture) {
   Own(950'000, 50'000);
-  Accept(Read(0, 0.1), 0.2);
+  ApplyWrite(Read(0, 0.1), 0.2);
   BOOST_TEST(Granted() == 1'000'000);
   Entry("new") = {.vm = vm_id("new")};
-  Accept(Read(4, 4.1), 4.2);
+  ApplyWrite(Read(4, 4.1), 4.2);
   BOOST_TEST(Granted() == 500'000);
   const std::uint64_t sequence = holder->Share().sequence;
-  // Long after, but no word of the entries.
-  Accept(Read(30, 30.1), 30.2);
+  // Much later, but without an acknowledgement of the entries.
+  ApplyWrite(Read(30, 30.1), 30.2);
   BOOST_TEST(table.Find(vm_id("me"))->floor_ppm == 950'000);
   holder->OnGrantApplied(sequence, At(31));
-  Accept(Read(33.5, 33.55), 33.6);
+  ApplyWrite(Read(33.5, 33.55), 33.6);
   BOOST_TEST(table.FreePpm() == 500'000);
   BOOST_TEST(Granted() == 500'000);
 }
 
-// Without a floor to lower, the entries may be silent: what they lease ends.
-BOOST_FIXTURE_TEST_CASE(LeasedPartIsLoweredWhenItHasEnded, fixture) {
+// Without a floor to lower, no acknowledgement is needed: the leased part
+// expires by itself.
+BOOST_FIXTURE_TEST_CASE(LeasedPartIsLoweredAfterExpiry, fixture) {
   Own(0, 1'000'000);
   share_settings settings;
   settings.floor_ppm = 0;
   Make(settings);
-  Accept(Read(0, 0.1), 0.2);
+  ApplyWrite(Read(0, 0.1), 0.2);
   Entry("new") = {.vm = vm_id("new")};
-  Accept(Read(4, 4.1), 4.2);
-  Accept(Read(8, 8.1), 8.2);
+  ApplyWrite(Read(4, 4.1), 4.2);
+  ApplyWrite(Read(8, 8.1), 8.2);
   BOOST_TEST(table.FreePpm() == 0);
-  Accept(Read(12, 12.1), 12.2);
-  Accept(Read(16, 16.1), 16.2);
+  ApplyWrite(Read(12, 12.1), 12.2);
+  ApplyWrite(Read(16, 16.1), 16.2);
   BOOST_TEST(table.FreePpm() == 500'000);
 }
 
-// The store's answer is lost after the write took effect. What was written
-// counts when it has been seen, and from the question that saw it.
-BOOST_FIXTURE_TEST_CASE(LostAnswerIsResolvedByReading, fixture) {
-  Accept(Read(0, 0.1), 0.2);
+// The store's answer is lost after the write took effect. The written share
+// counts once a read has seen it, and from the start of that read.
+BOOST_FIXTURE_TEST_CASE(LostAnswerIsResolvedByTheNextRead, fixture) {
+  ApplyWrite(Read(0, 0.1), 0.2);
   const share_actions actions = Read(2, 2.1);
   const auto* write = Find<citron::write_table>(actions);
   BOOST_REQUIRE(write != nullptr);
@@ -213,15 +214,15 @@
   Read(4, 4.1);
   BOOST_TEST(Granted() == citron::kWholePpm);
   BOOST_TEST((holder->Share().leased_until == At(4) + share_settings{}.lease));
-  // The answer comes after all.
+  // The answer to the write arrives late.
   BOOST_TEST(holder->OnCasResult(id, cas_ok{2}, At(5)).empty());
 }
 
-// A control process is paused for long; another of the same VM has taken its
-// place. The old one must not grant or write any more.
+// A control process is paused for long, and another process of the same VM
+// replaces it. The old process must not grant or write any more.
 BOOST_FIXTURE_TEST_CASE(ReplacedProcessStops, fixture) {
   Own(500'000, 500'000);
-  Accept(Read(0, 0.1), 0.2);
+  ApplyWrite(Read(0, 0.1), 0.2);
   Own(500'000, 500'000).incarnation = kIncarnation + 1;
   const share_actions actions = Read(60, 60.1);
   BOOST_TEST((Find<citron::write_table>(actions) == nullptr));
@@ -229,16 +230,16 @@
   BOOST_TEST(holder->OnTimer(At(70)).empty());
 }
 
-// An operator declares a VM dead; its floor is given on, after the time that
-// its loans may still be in use.
-BOOST_FIXTURE_TEST_CASE(FloorOfGoneVmIsGivenOn, fixture) {
+// An operator declares a VM dead. Its floor is released after the time that its
+// loans may still be in use.
+BOOST_FIXTURE_TEST_CASE(FloorOfDeadVmIsReleased, fixture) {
   Own(400'000, 100'000);
   Entry("dead") = {.vm = vm_id("dead"), .floor_ppm = 500'000};
-  Accept(Read(0, 0.1), 0.2);
+  ApplyWrite(Read(0, 0.1), 0.2);
   holder->OnGoneVms({vm_id("dead")}, At(3));
-  Accept(Read(4, 4.1), 4.2);
+  ApplyWrite(Read(4, 4.1), 4.2);
   BOOST_TEST((table.Find(vm_id("dead")) != nullptr));
-  Accept(Read(8, 8.1), 8.2);
+  ApplyWrite(Read(8, 8.1), 8.2);
   BOOST_TEST((table.Find(vm_id("dead")) == nullptr));
   BOOST_TEST(Granted() == citron::kWholePpm);
   holder->OnGoneVms({vm_id("dead"), vm_id("me")}, At(9));
@@ -247,23 +248,23 @@
 
 BOOST_FIXTURE_TEST_CASE(ReleaseStopsTheEntriesBeforeTheTable, fixture) {
   Own(950'000, 50'000);
-  Accept(Read(0, 0.1), 0.2);
+  ApplyWrite(Read(0, 0.1), 0.2);
   const share_actions actions = holder->OnRelease(At(1));
   BOOST_TEST((Find<citron::grant_changed>(actions) != nullptr));
   BOOST_TEST(Granted() == 0);
-  Accept(Read(4, 4.1), 4.2);
+  ApplyWrite(Read(4, 4.1), 4.2);
   BOOST_TEST((table.Find(vm_id("me")) != nullptr));
   holder->OnGrantApplied(holder->Share().sequence, At(5));
-  const share_actions done = Accept(Read(7.6, 7.7), 7.8);
+  const share_actions done = ApplyWrite(Read(7.6, 7.7), 7.8);
   BOOST_TEST((table.Find(vm_id("me")) == nullptr));
   BOOST_TEST((Find<citron::release_done>(done) != nullptr));
   BOOST_TEST(holder->IsReleased());
 }
 
-// Somebody wrote over the table, or an answer comes from a copy that lags.
+// The table was overwritten with invalid data, or a stale replica answers.
 BOOST_FIXTURE_TEST_CASE(UnusableTablesRenewNothing, fixture) {
   Own(950'000, 50'000);
-  Accept(Read(0, 0.1), 0.2);
+  ApplyWrite(Read(0, 0.1), 0.2);
   const monotonic_time until = holder->Share().leased_until;
   BOOST_REQUIRE(Find<citron::read_table>(holder->OnTimer(At(4))));
   share_actions actions = holder->OnTableRead("{}", 9, At(4.1));
