--- a/include/citron/protocol/share_table.h
+++ b/include/citron/protocol/share_table.h
@@ -11,28 +11,28 @@
 
 namespace citron {
 
-// Where the table stands in the platform's store.
+// Key of the table in the platform's store.
 inline constexpr char kShareTableKey[] = "limits/shares";
 
-// All parts of a table add up to this at most: parts per million.
+// Limit on the sum of all parts of a table, in parts per million.
 inline constexpr int kWholePpm = 1'000'000;
 
-// The part of every contract that one VM holds.
+// Share of every contract that one VM holds.
 struct share_entry {
   vm_id vm;
   zone_id zone;
   std::uint64_t incarnation = 0;
-  std::uint64_t writes = 0;  // By this VM, to its own entry.
-  int floor_ppm = 0;         // Kept through an outage of the store.
-  int leased_ppm = 0;        // Lapses unless it is renewed.
-  // Set by another VM that wants to know whether this one lives; a VM clears
-  // its own. While it is set, reading the table renews nothing.
+  std::uint64_t writes = 0;  // Writes of this VM to its own entry.
+  int floor_ppm = 0;         // Kept through a store outage.
+  int leased_ppm = 0;        // Expires unless renewed.
+  // Set by another VM that needs to know whether this VM is alive; a VM clears
+  // its own mark. While the mark is set, reading the table renews nothing.
   bool is_suspect = false;
 
   friend bool operator==(const share_entry&, const share_entry&) = default;
 };
 
-// Who holds which part of the fleet's limits; sorted by VM.
+// Shares of the fleet's limits that the VMs hold, sorted by VM.
 struct share_table {
   std::vector<share_entry> entries;
 
@@ -40,17 +40,18 @@
 
   const share_entry* Find(const vm_id& vm) const;
   share_entry* Find(const vm_id& vm);
-  // Adds an empty entry when the VM has none.
+  // Returns the VM's entry; adds an empty entry if there is none.
   share_entry& FindOrAdd(const vm_id& vm);
   void Remove(const vm_id& vm);
-  // Parts per million that no VM holds.
+  // Returns the parts per million that no VM holds.
   int FreePpm() const;
 };
 
 std::string EncodeShareTable(const share_table& table);
 
-// Accepts only what EncodeShareTable could have written; "" is an empty table.
-// A table whose parts add up to more than the whole is an error.
+// Parses a table; accepts only what EncodeShareTable could have written. "" is
+// an empty table. A table whose parts add up to more than the whole is an
+// error.
 result<share_table> ParseShareTable(std::string_view json);
 
 }  // namespace citron
--- a/src/protocol/share_table.cc
+++ b/src/protocol/share_table.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// An entry is about 100 bytes of the megabyte that a value may have.
+// An entry takes about 100 bytes; a value may have one megabyte.
 constexpr std::size_t kMaxEntries = 8192;
 constexpr std::int64_t kMaxCount = std::numeric_limits<std::int64_t>::max();
 
@@ -42,7 +42,7 @@
   table.entries.push_back(std::move(entry));
 }
 
-// 64-bit sums: hostile parts may each be the whole.
+// Sums in 64 bits, since each part of a hostile table may be the whole.
 std::int64_t HeldPpm(const share_table& table) {
   std::int64_t held = 0;
   for (const share_entry& entry : table.entries) {
--- a/tests/protocol/share_table_test.cc
+++ b/tests/protocol/share_table_test.cc
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(TableSurvivesItsEncoding) {
+BOOST_AUTO_TEST_CASE(EncodedTableParsesUnchanged) {
   const share_table table = TwoVms();
   const auto parsed = ParseShareTable(EncodeShareTable(table));
   BOOST_REQUIRE(IsOk(parsed));
@@ -34,10 +34,9 @@
   BOOST_TEST(IsOk(ParseShareTable("")));
 }
 
-// Somebody writes into the table by hand, or the store hands out a damaged
-// value. Taking it would give parts to two VMs, and a workspace more than its
-// rate.
-BOOST_AUTO_TEST_CASE(DamagedTablesAreErrors) {
+// Guards against a table that was edited by hand or damaged in the store: using
+// it would give parts to two VMs, and a workspace more than its rate.
+BOOST_AUTO_TEST_CASE(DamagedTablesAreRejected) {
   const std::string good = EncodeShareTable(TwoVms());
   for (std::size_t cut = 1; cut < good.size(); ++cut) {
     BOOST_TEST(!IsOk(ParseShareTable(good.substr(0, cut))));
