--- a/include/citron/protocol/demand_history.h
+++ b/include/citron/protocol/demand_history.h
@@ -7,16 +7,17 @@
 
 namespace citron {
 
-// A demand in requests a second as it was told from time to time; zero before
-// the first time.
+// Reported demand over time, in requests per second; zero before the first
+// report.
 class demand_history {
  public:
   void Add(double per_s, monotonic_time now);
-  // What was told before the value of that time is of no use any more.
+  // Drops the values that were replaced by `before`; keeps the value in force
+  // at that time.
   void Forget(monotonic_time before);
 
   double Newest() const { return values_.back().per_s; }
-  // The least value of that time and of all later ones.
+  // Returns the minimum of the value in force at `at` and all later values.
   double LeastSince(monotonic_time at) const;
 
  private:
@@ -24,7 +25,7 @@
     double per_s = 0;
     monotonic_time at{};
   };
-  std::vector<value> values_ = {{}};  // The newest last; never empty.
+  std::vector<value> values_ = {{}};  // Oldest first; never empty.
 };
 
 }  // namespace citron
--- a/tests/protocol/demand_history_test.cc
+++ b/tests/protocol/demand_history_test.cc
@@ -9,7 +9,7 @@
 
 constexpr monotonic_time kStart{std::chrono::hours(1)};
 
-BOOST_AUTO_TEST_CASE(BeforeTheFirstValueThereIsNoDemand) {
+BOOST_AUTO_TEST_CASE(DemandIsZeroBeforeTheFirstValue) {
   demand_history history;
   BOOST_TEST(history.Newest() == 0);
   history.Add(5, kStart);
@@ -18,7 +18,7 @@
   BOOST_TEST(history.LeastSince(kStart) == 5);
 }
 
-BOOST_AUTO_TEST_CASE(AValueHoldsUntilTheNextOne) {
+BOOST_AUTO_TEST_CASE(ValueIsInForceUntilTheNextOne) {
   demand_history history;
   history.Add(5, kStart);
   history.Add(3, kStart + seconds(1));
@@ -29,8 +29,9 @@
   BOOST_TEST(history.LeastSince(kStart) == 3);
 }
 
-// A value that is dropped too early would raise a share before all know it.
-BOOST_AUTO_TEST_CASE(TheValueInForceIsNotForgotten) {
+// Dropping a value too early would raise a share before all VMs know of the
+// demand.
+BOOST_AUTO_TEST_CASE(ForgetKeepsTheValueInForce) {
   demand_history history;
   history.Add(5, kStart);
   history.Add(8, kStart + seconds(4));
