--- a/include/citron/protocol/demand_history.h
+++ b/include/citron/protocol/demand_history.h
@@ -14,11 +14,11 @@
   void Add(double per_s, monotonic_time now);
   // Drops the values that were replaced by `before`; keeps the value in force
   // at that time.
-  void Forget(monotonic_time before);
+  void DropReplacedBefore(monotonic_time before);
 
   double Newest() const { return values_.back().per_s; }
   // Returns the minimum of the value in force at `at` and all later values.
-  double LeastSince(monotonic_time at) const;
+  double MinimumSince(monotonic_time at) const;
 
  private:
   struct value {
--- a/include/citron/protocol/share_holder.h
+++ b/include/citron/protocol/share_holder.h
@@ -27,7 +27,7 @@
   // released.
   duration floor_horizon = std::chrono::hours(6);
   // How long a loan granted under an earlier share may still be in use.
-  duration loan_settle = std::chrono::milliseconds(2500);
+  duration loan_settle_time = std::chrono::milliseconds(2500);
 };
 
 // Share that the entries of this VM may use. Entries apply a change at once and
@@ -81,10 +81,10 @@
 // parts. Each control process has one share_holder. Every event returns the
 // actions to carry out, in order. At most one read or write is in flight at a
 // time. Reading the table renews the lease, counted from before the read,
-// unless the VM's entry is marked as suspect. A VM that wants the leased part
-// of another VM marks that VM's entry, waits for a lease and a margin by its
-// own clock, and takes the part if the mark still stands. The store must not
-// answer reads from a stale replica.
+// unless the VM's entry is marked as suspect. A VM that needs the leased part
+// of another VM marks that VM's entry, waits for a lease and a margin according
+// to its local clock, and takes the part if the mark still stands. The store
+// must not answer reads from a stale replica.
 class share_holder {
  public:
   share_holder(vm_id vm, zone_id zone, std::uint64_t incarnation,
@@ -165,7 +165,7 @@
   void Renew(share_actions& actions);
   share_table NextTable(monotonic_time now, share_actions& actions);
   void StartWrite(share_table next, monotonic_time now, share_actions& actions);
-  bool CheckOwnEntry(share_actions& actions);
+  bool CheckLocalEntry(share_actions& actions);
   void DropShare(share_actions& actions);
   void Grant(const share_split& granted, share_actions& actions);
   void OnFailure(monotonic_time now, share_actions& actions);
--- a/include/citron/protocol/share_table.h
+++ b/include/citron/protocol/share_table.h
@@ -22,11 +22,12 @@
   vm_id vm;
   zone_id zone;
   std::uint64_t incarnation = 0;
-  std::uint64_t writes = 0;  // Writes of this VM to its own entry.
+  std::uint64_t writes = 0;  // Writes of this VM to its entry.
   int floor_ppm = 0;         // Kept through a store outage.
   int leased_ppm = 0;        // Expires unless renewed.
   // Set by another VM that needs to know whether this VM is alive; a VM clears
-  // its own mark. While the mark is set, reading the table renews nothing.
+  // the mark on its entry. While the mark is set, reading the table renews
+  // nothing.
   bool is_suspect = false;
 
   friend bool operator==(const share_entry&, const share_entry&) = default;
--- a/include/citron/protocol/workspace_quota.h
+++ b/include/citron/protocol/workspace_quota.h
@@ -19,12 +19,12 @@
   double fleet_slack = 12;
   // Requests of a possibly fleet-wide rise that are not counted: a few
   // consecutive requests of a small workspace look like such a rise.
-  double unseen_rise = 18;
+  double uncounted_rise = 18;
   // How long a VM may go on admitting requests after its record has expired:
   // until it can no longer prove its keys, or until a planned stop is complete.
-  duration orphan_time = FromMilliseconds(2000);
+  duration expired_admission_time = FromMilliseconds(2000);
   // Maximum network delay of a report to another VM.
-  duration way = FromMilliseconds(300);
+  duration max_report_delay = FromMilliseconds(300);
   // Fleet size that is assumed for `assume_for` after the start, before the VMs
   // are known.
   int assumed_vms = 2;
@@ -42,7 +42,7 @@
   // When this VM sent the newest report that the other VM has received.
   monotonic_time has_heard{};
   // When the next report of the other VM is due.
-  monotonic_time tells_by{};
+  monotonic_time next_report_due{};
 };
 
 // Inputs of the last admission decision, for the log.
--- a/src/protocol/demand_history.cc
+++ b/src/protocol/demand_history.cc
@@ -8,20 +8,20 @@
   if (per_s != Newest()) values_.push_back({per_s, now});
 }
 
-void demand_history::Forget(monotonic_time before) {
+void demand_history::DropReplacedBefore(monotonic_time before) {
   const auto first_kept =
       std::find_if(values_.begin() + 1, values_.end(),
                    [before](const value& value) { return value.at > before; });
   values_.erase(values_.begin(), first_kept - 1);
 }
 
-double demand_history::LeastSince(monotonic_time at) const {
-  double least = Newest();
+double demand_history::MinimumSince(monotonic_time at) const {
+  double minimum = Newest();
   for (auto value = values_.rbegin(); value != values_.rend(); ++value) {
-    least = std::min(least, value->per_s);
+    minimum = std::min(minimum, value->per_s);
     if (value->at <= at) break;
   }
-  return least;
+  return minimum;
 }
 
 }  // namespace citron
--- a/src/protocol/share_holder.cc
+++ b/src/protocol/share_holder.cc
@@ -158,7 +158,7 @@
     return actions;
   }
   pending_reduction_->applied_at = now;
-  ScheduleReadWithin(settings_.loan_settle, now, actions);
+  ScheduleReadWithin(settings_.loan_settle_time, now, actions);
   return actions;
 }
 
@@ -167,7 +167,7 @@
   if (releasing_ || released_) return actions;
   releasing_ = true;
   LowerShare(share_split{}, actions);
-  ScheduleReadWithin(settings_.loan_settle, now, actions);
+  ScheduleReadWithin(settings_.loan_settle_time, now, actions);
   return actions;
 }
 
@@ -216,18 +216,18 @@
 }
 
 // Frees the parts that no VM uses any more. The write is a compare-and-swap on
-// the revision at which the marks stood, so it fails if a VM clears its own
+// the revision at which the marks stood, so it fails if a suspect clears its
 // mark in between. A floor stays while a VM is merely missing from the list of
 // VMs: a zone that is cut off vanishes from the list while it goes on serving.
 // If the floor were taken too early, the zone's workspaces would get their rate
-// on both sides of the cut.
+// on both sides of the partition.
 void share_holder::ReclaimExpired(share_table& next, monotonic_time now) const {
   const duration horizon = settings_.floor_horizon + settings_.margin;
   std::erase_if(next.entries, [&](const share_entry& entry) {
     const auto gone = declared_dead_.find(entry.vm);
     // The loans of the dead VM may still be in use for a moment.
     if (gone != declared_dead_.end()) {
-      return now >= gone->second + settings_.loan_settle;
+      return now >= gone->second + settings_.loan_settle_time;
     }
     if (!IsExpired(entry, now)) return false;
     return entry.floor_ppm == 0 || UnchangedFor(entry, now) >= horizon;
@@ -281,10 +281,10 @@
 share_holder::share_split share_holder::NextShare(const share_table& next,
                                                   monotonic_time now,
                                                   share_actions& actions) {
-  const share_entry* own = next.Find(vm_);
-  const share_split held = own != nullptr
-                               ? share_split{own->floor_ppm, own->leased_ppm}
-                               : share_split{};
+  const share_entry* local = next.Find(vm_);
+  const share_split held =
+      local != nullptr ? share_split{local->floor_ppm, local->leased_ppm}
+                       : share_split{};
   // The share that an earlier process of this VM left is taken over unchanged.
   if (!joined_) return held;
   const share_split fair = FairShare(next, now);
@@ -318,7 +318,7 @@
 bool share_holder::CanLowerTable(const share_split& held,
                                  monotonic_time now) const {
   if (pending_reduction_->applied_at &&
-      now >= *pending_reduction_->applied_at + settings_.loan_settle) {
+      now >= *pending_reduction_->applied_at + settings_.loan_settle_time) {
     return true;
   }
   // Entries that never answered have stopped using the leased part at its end,
@@ -339,7 +339,7 @@
   const bool lost_a_write = phase_ == phase::kWriting;
   phase_ = phase::kIdle;
   failures_ = 0;
-  if (!CheckOwnEntry(actions)) return;
+  if (!CheckLocalEntry(actions)) return;
   Renew(actions);
   share_table next = NextTable(now, actions);
   if (next == table_) {
@@ -361,11 +361,11 @@
 // Renews the lease from `requested_at_`: the table held this VM's entry at some
 // moment after that.
 void share_holder::Renew(share_actions& actions) {
-  const share_entry* own = table_.Find(vm_);
-  if (own == nullptr || own->incarnation != incarnation_) return;
+  const share_entry* local = table_.Find(vm_);
+  if (local == nullptr || local->incarnation != incarnation_) return;
   joined_ = true;
-  if (own->is_suspect) return;
-  share_split granted{own->floor_ppm, own->leased_ppm};
+  if (local->is_suspect) return;
+  share_split granted{local->floor_ppm, local->leased_ppm};
   if (pending_reduction_) {
     if (granted.IsWithin(pending_reduction_->target) && !releasing_) {
       pending_reduction_.reset();
@@ -386,9 +386,9 @@
   share_table next = table_;
   ReclaimExpired(next, now);
   MarkSuspects(next, now);
-  const share_split own = NextShare(next, now, actions);
-  if (releasing_ && pending_reduction_->target == own &&
-      CanLowerTable(own, now)) {
+  const share_split local = NextShare(next, now, actions);
+  if (releasing_ && pending_reduction_->target == local &&
+      CanLowerTable(local, now)) {
     next.Remove(vm_);
     return next;
   }
@@ -396,8 +396,8 @@
   const share_entry before = entry;
   entry.zone = zone_;
   entry.incarnation = incarnation_;
-  entry.floor_ppm = own.floor_ppm;
-  entry.leased_ppm = own.leased_ppm;
+  entry.floor_ppm = local.floor_ppm;
+  entry.leased_ppm = local.leased_ppm;
   entry.is_suspect = false;
   if (entry != before) ++entry.writes;
   assert(next.FreePpm() >= 0);
@@ -416,15 +416,15 @@
 }
 
 // Returns whether this process may go on writing the VM's entry.
-bool share_holder::CheckOwnEntry(share_actions& actions) {
+bool share_holder::CheckLocalEntry(share_actions& actions) {
   if (!joined_) return true;
-  const share_entry* own = table_.Find(vm_);
-  if (own != nullptr && own->incarnation == incarnation_) return true;
+  const share_entry* local = table_.Find(vm_);
+  if (local != nullptr && local->incarnation == incarnation_) return true;
   DropShare(actions);
   // If a newer process of this VM has the entry, this process is obsolete. If
   // the entry is missing, the VM was declared dead or was silent past the
   // horizon, and joins again.
-  released_ = own != nullptr;
+  released_ = local != nullptr;
   return !released_;
 }
 
@@ -466,7 +466,7 @@
                                                  : settings_.renew_interval);
   if (pending_reduction_ && pending_reduction_->applied_at) {
     const monotonic_time settled =
-        *pending_reduction_->applied_at + settings_.loan_settle;
+        *pending_reduction_->applied_at + settings_.loan_settle_time;
     next_read_at_ = std::max(now, std::min(next_read_at_, settled));
   }
   Arm(next_read_at_, actions);
--- a/src/protocol/share_table.cc
+++ b/src/protocol/share_table.cc
@@ -31,13 +31,13 @@
   reader.Int("floor", entry.floor_ppm, 0, kWholePpm, true);
   reader.Int("leased", entry.leased_ppm, 0, kWholePpm, true);
   reader.Bool("suspect", entry.is_suspect);
-  if (vm.empty()) reader.Fail("vm", "empty");
+  if (vm.empty()) reader.Fail("vm", "must not be empty");
   entry.vm = vm_id(vm);
   entry.zone = zone_id(zone);
   entry.incarnation = static_cast<std::uint64_t>(incarnation);
   entry.writes = static_cast<std::uint64_t>(writes);
   if (!table.entries.empty() && !(table.entries.back().vm < entry.vm)) {
-    reader.Fail("vm", "not sorted, or twice");
+    reader.Fail("vm", "entries are not sorted by VM, or a VM is listed twice");
   }
   table.entries.push_back(std::move(entry));
 }
@@ -106,10 +106,11 @@
   const status finished = reader.Finish();
   if (!IsOk(finished)) return ErrorOf(finished);
   if (table.entries.size() > kMaxEntries) {
-    return MakeError(error_code::kInvalid, "vms: too many");
+    return MakeError(error_code::kInvalid, "vms: too many entries");
   }
   if (HeldPpm(table) > kWholePpm) {
-    return MakeError(error_code::kInvalid, "vms: parts exceed the whole");
+    return MakeError(error_code::kInvalid,
+                     "vms: shares add up to more than the whole");
   }
   return table;
 }
--- a/src/protocol/workspace_quota.cc
+++ b/src/protocol/workspace_quota.cc
@@ -66,9 +66,10 @@
   }
   other.report = report;
   other.demand.Add(report.demand_per_s, now);
-  other.demand.Forget(DemandInForceSince(now));
+  other.demand.DropReplacedBefore(DemandInForceSince(now));
   other.received_at = now;
-  if (other.gone_after) other.gone_after = now + options_.orphan_time;
+  if (other.gone_after)
+    other.gone_after = now + options_.expired_admission_time;
 }
 
 void workspace_quota::OnContact(const vm_id& vm, const quota_contact& contact) {
@@ -83,20 +84,20 @@
 void workspace_quota::OnHeardElsewhere(const vm_id& vm, monotonic_time now) {
   const auto found = others_.find(vm);
   if (found == others_.end() || !found->second.gone_after) return;
-  found->second.gone_after = now + options_.orphan_time;
+  found->second.gone_after = now + options_.expired_admission_time;
 }
 
 void workspace_quota::RemoveVm(const vm_id& vm, monotonic_time now) {
   const auto found = others_.find(vm);
   if (found == others_.end()) return;
-  found->second.gone_after = now + options_.orphan_time;
+  found->second.gone_after = now + options_.expired_admission_time;
 }
 
-// Drops VMs whose time to count as gone has come. A VM whose reports are
-// missing may still run: if its share were given to others at once, the share
-// would be used twice, and the contract would be exceeded whenever a zone is
-// cut off. Without this step, a VM that left and reported requests afterwards
-// would keep its share for good.
+// Drops VMs that count as gone. A VM whose reports are missing may still run:
+// if its share were given to others at once, the share would be used twice, and
+// the contract would be exceeded whenever a zone is cut off. If such a VM were
+// kept until it is idle, a VM that left and reported requests afterwards would
+// keep its share for good.
 void workspace_quota::RemoveExpiredVms(monotonic_time now) {
   for (auto it = others_.begin(); it != others_.end();) {
     const auto at = it++;
@@ -148,7 +149,8 @@
   for (const auto& [vm, other] : others_) {
     if (other.gone_after || IsIdle(other) || IsSilent(other, now)) continue;
     ++serving;
-    if (now >= other.contact.tells_by + options_.way) ++late;
+    if (now >= other.contact.next_report_due + options_.max_report_delay)
+      ++late;
   }
   return late > kToleratedLateFraction * serving;
 }
@@ -157,7 +159,7 @@
 // a little before the reporting VM uses it, and not at once, since the share of
 // that VM grows only when all VMs know of it.
 monotonic_time workspace_quota::DemandInForceSince(monotonic_time now) const {
-  return now - view_lag_ + options_.way;
+  return now - view_lag_ + options_.max_report_delay;
 }
 
 // Returns the local demand that all VMs that are not silent know of and have in
@@ -168,7 +170,7 @@
     if (IsIdle(other) || IsSilent(other, now)) continue;
     since = std::min(since, other.contact.has_heard);
   }
-  return reported_demand_.LeastSince(since);
+  return reported_demand_.MinimumSince(since);
 }
 
 // Silent VMs keep their shares. The shares of the others add up to at most one,
@@ -184,14 +186,14 @@
   basis.idle_demand_per_s =
       kIdleShare * std::max(rate_per_s_, 1.0) / static_cast<double>(vms);
   const monotonic_time since = DemandInForceSince(now);
-  basis.fleet_demand_per_s = reported_demand_.LeastSince(since);
+  basis.fleet_demand_per_s = reported_demand_.MinimumSince(since);
   double kept = 0;
   for (const auto& [vm, other] : others_) {
     if (IsSilent(other, now)) {
       kept += other.share;
       --vms;
     } else {
-      basis.fleet_demand_per_s += other.demand.LeastSince(since);
+      basis.fleet_demand_per_s += other.demand.MinimumSince(since);
     }
   }
   basis.fleet_demand_per_s += basis.idle_demand_per_s * std::max(vms, 1);
@@ -206,7 +208,7 @@
   for (auto& [vm, other] : others_) {
     if (other.received_at < reported_at_) continue;
     other.share =
-        basis.ShareOf(other.demand.LeastSince(DemandInForceSince(now)));
+        basis.ShareOf(other.demand.MinimumSince(DemandInForceSince(now)));
   }
 }
 
@@ -266,7 +268,8 @@
   for (const auto& [vm, other] : others_) sum += other.report.demand_per_s;
   const double usual = sum * ToSeconds(view_lag_);
   // A rise that is seen here may have come to all other VMs too. Single
-  // requests of a small workspace look like a rise; `unseen_rise` covers them.
+  // requests of a small workspace look like a rise; `uncounted_rise` covers
+  // them.
   const double recent =
       recent_demand_per_s_ -
       kRiseDeviations * std::sqrt(recent_demand_per_s_ / (2 * kRiseHorizonS));
@@ -274,7 +277,7 @@
                       std::max(reported_demand_.Newest(), 0.5);
   if (rise < kMinFleetRise) return usual;
   return std::max(usual,
-                  usual * std::min(rise, kMaxRise) - options_.unseen_rise);
+                  usual * std::min(rise, kMaxRise) - options_.uncounted_rise);
 }
 
 void workspace_quota::Refill(monotonic_time now) {
@@ -379,7 +382,7 @@
       std::accumulate(admitted_.counts.begin(), admitted_.counts.end(), 0.0);
   RecordShares(now);
   reported_demand_.Add(demand_per_s_, now);
-  reported_demand_.Forget(now - silence_limit_);
+  reported_demand_.DropReplacedBefore(now - silence_limit_);
   reported_at_ = now;
   return {demand_per_s_, local_admitted_};
 }
--- a/tests/protocol/share_holder_test.cc
+++ b/tests/protocol/share_holder_test.cc
@@ -46,13 +46,13 @@
   share_entry& Entry(const std::string& vm) {
     return table.FindOrAdd(vm_id(vm));
   }
-  share_entry& Own(int floor, int leased) {
-    share_entry& own = Entry("me");
-    own.zone = citron::zone_id("z");
-    own.incarnation = kIncarnation;
-    own.floor_ppm = floor;
-    own.leased_ppm = leased;
-    return own;
+  share_entry& LocalEntry(int floor, int leased) {
+    share_entry& local = Entry("me");
+    local.zone = citron::zone_id("z");
+    local.incarnation = kIncarnation;
+    local.floor_ppm = floor;
+    local.leased_ppm = leased;
+    return local;
   }
   // Starts a read at `requested` and delivers the table at `answered`.
   share_actions Read(double requested, double answered) {
@@ -95,7 +95,7 @@
 // The store's answer takes almost as long as the lease. A VM that counted the
 // lease from the answer would use its part after another VM has taken it.
 BOOST_FIXTURE_TEST_CASE(LeaseCountsFromBeforeTheRead, fixture) {
-  Own(500'000, 100'000);
+  LocalEntry(500'000, 100'000);
   Entry("other") = {.vm = vm_id("other"), .floor_ppm = 400'000};
   Read(0, 0.9);
   BOOST_TEST((holder->Share().leased_until == At(0) + share_settings{}.lease));
@@ -106,10 +106,10 @@
 // Another VM suspects that this VM is dead and waits for its lease to end. That
 // VM could not see a renewal in that time.
 BOOST_FIXTURE_TEST_CASE(ReadRenewsNothingWhileSuspect, fixture) {
-  Own(500'000, 500'000);
+  LocalEntry(500'000, 500'000);
   ApplyWrite(Read(0, 0.1), 0.2);
   const monotonic_time until = holder->Share().leased_until;
-  Own(500'000, 500'000).is_suspect = true;
+  LocalEntry(500'000, 500'000).is_suspect = true;
   const share_actions actions = Read(5, 5.1);
   BOOST_TEST((holder->Share().leased_until == until));
   const auto* write = Find<citron::write_table>(actions);
@@ -126,7 +126,7 @@
 // expired there, and its floor is not free at all.
 BOOST_FIXTURE_TEST_CASE(LeasedPartOfSilentVmIsTakenAfterLeaseAndMargin,
                         fixture) {
-  Own(400'000, 100'000);
+  LocalEntry(400'000, 100'000);
   Entry("dead") = {
       .vm = vm_id("dead"), .floor_ppm = 400'000, .leased_ppm = 100'000};
   holder->OnMembership({vm_id("me")});
@@ -145,7 +145,7 @@
 // A suspect clears its mark between the read and the write of the VM that wants
 // its part.
 BOOST_FIXTURE_TEST_CASE(ClearedMarkPreventsTakingThePart, fixture) {
-  Own(400'000, 100'000);
+  LocalEntry(400'000, 100'000);
   share_entry dead{.vm = vm_id("dead"),
                    .floor_ppm = 400'000,
                    .leased_ppm = 100'000,
@@ -167,7 +167,7 @@
 // A VM joins. If the table gave it a part before the entries of this VM have
 // stopped using that part, both VMs would use it.
 BOOST_FIXTURE_TEST_CASE(TableIsLoweredAfterTheEntriesAndTheirLoans, fixture) {
-  Own(950'000, 50'000);
+  LocalEntry(950'000, 50'000);
   ApplyWrite(Read(0, 0.1), 0.2);
   BOOST_TEST(Granted() == 1'000'000);
   Entry("new") = {.vm = vm_id("new")};
@@ -186,7 +186,7 @@
 // Without a floor to lower, no acknowledgement is needed: the leased part
 // expires by itself.
 BOOST_FIXTURE_TEST_CASE(LeasedPartIsLoweredAfterExpiry, fixture) {
-  Own(0, 1'000'000);
+  LocalEntry(0, 1'000'000);
   share_settings settings;
   settings.floor_ppm = 0;
   Make(settings);
@@ -221,9 +221,9 @@
 // A control process is paused for long, and another process of the same VM
 // replaces it. The old process must not grant or write any more.
 BOOST_FIXTURE_TEST_CASE(ReplacedProcessStops, fixture) {
-  Own(500'000, 500'000);
+  LocalEntry(500'000, 500'000);
   ApplyWrite(Read(0, 0.1), 0.2);
-  Own(500'000, 500'000).incarnation = kIncarnation + 1;
+  LocalEntry(500'000, 500'000).incarnation = kIncarnation + 1;
   const share_actions actions = Read(60, 60.1);
   BOOST_TEST((Find<citron::write_table>(actions) == nullptr));
   BOOST_TEST(Granted() == 0);
@@ -233,7 +233,7 @@
 // An operator declares a VM dead. Its floor is released after the time that its
 // loans may still be in use.
 BOOST_FIXTURE_TEST_CASE(FloorOfDeadVmIsReleased, fixture) {
-  Own(400'000, 100'000);
+  LocalEntry(400'000, 100'000);
   Entry("dead") = {.vm = vm_id("dead"), .floor_ppm = 500'000};
   ApplyWrite(Read(0, 0.1), 0.2);
   holder->OnGoneVms({vm_id("dead")}, At(3));
@@ -247,7 +247,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(ReleaseStopsTheEntriesBeforeTheTable, fixture) {
-  Own(950'000, 50'000);
+  LocalEntry(950'000, 50'000);
   ApplyWrite(Read(0, 0.1), 0.2);
   const share_actions actions = holder->OnRelease(At(1));
   BOOST_TEST((Find<citron::grant_changed>(actions) != nullptr));
@@ -263,7 +263,7 @@
 
 // The table was overwritten with invalid data, or a stale replica answers.
 BOOST_FIXTURE_TEST_CASE(UnusableTablesRenewNothing, fixture) {
-  Own(950'000, 50'000);
+  LocalEntry(950'000, 50'000);
   ApplyWrite(Read(0, 0.1), 0.2);
   const monotonic_time until = holder->Share().leased_until;
   BOOST_REQUIRE(Find<citron::read_table>(holder->OnTimer(At(4))));
--- a/tests/protocol/workspace_quota_cut_test.cc
+++ b/tests/protocol/workspace_quota_cut_test.cc
@@ -62,8 +62,8 @@
     return demand;
   }
 
-  int DrawInt(int least, int most) {
-    return std::uniform_int_distribution<int>(least, most)(random_);
+  int DrawInt(int min, int max) {
+    return std::uniform_int_distribution<int>(min, max)(random_);
   }
 
  private:
--- a/tests/protocol/workspace_quota_test.cc
+++ b/tests/protocol/workspace_quota_test.cc
@@ -155,9 +155,9 @@
   quota.SetFleetSize(1);
   quota.RemoveVm(other, start + seconds(2));
   quota.OnReport(other, {40, 200}, start + seconds(3));
-  const double share_before_removal = quota.State(start + seconds(3)).share;
+  const double share_while_reporting = quota.State(start + seconds(3)).share;
   for (int i = 4; i < 20; ++i) quota.Report(start + seconds(i));
-  BOOST_TEST(share_before_removal < 0.5);
+  BOOST_TEST(share_while_reporting < 0.5);
   BOOST_TEST(quota.State(start + seconds(20)).share == 1);
   BOOST_TEST(quota.State(start + seconds(20)).fleet_admitted == 0);
 }
