--- a/include/citron/protocol/workspace_quota.h
+++ b/include/citron/protocol/workspace_quota.h
@@ -40,7 +40,7 @@
 // State of the report exchange between another VM and this one.
 struct quota_contact {
   // When this VM sent the newest report that the other VM has received.
-  monotonic_time has_heard{};
+  monotonic_time received_report_sent_at{};
   // When the next report of the other VM is due.
   monotonic_time next_report_due{};
 };
@@ -50,7 +50,7 @@
   double rate_per_s = 0;
   double burst = 0;
   double share = 0;   // Share of this VM in the contract.
-  double tokens = 0;  // In this VM's bucket; negative: lent.
+  double tokens = 0;  // In this VM's bucket; negative after lending.
   double fleet_admitted = 0;
   double window_limit = 0;
   int vms_told = 0;   // Listed VMs that have reported.
--- a/src/protocol/share_table.cc
+++ b/src/protocol/share_table.cc
@@ -31,7 +31,7 @@
   reader.Int("floor", entry.floor_ppm, 0, kWholePpm, true);
   reader.Int("leased", entry.leased_ppm, 0, kWholePpm, true);
   reader.Bool("suspect", entry.is_suspect);
-  if (vm.empty()) reader.Fail("vm", "must not be empty");
+  if (vm.empty()) reader.Fail("vm", "empty");
   entry.vm = vm_id(vm);
   entry.zone = zone_id(zone);
   entry.incarnation = static_cast<std::uint64_t>(incarnation);
--- a/src/protocol/workspace_quota.cc
+++ b/src/protocol/workspace_quota.cc
@@ -130,7 +130,8 @@
     ++count.reported;
     if (IsSilent(other, now)) continue;
     ++count.responsive;
-    if (now - other.contact.has_heard < silence_limit_) ++count.connected;
+    if (now - other.contact.received_report_sent_at < silence_limit_)
+      ++count.connected;
   }
   return count;
 }
@@ -168,7 +169,7 @@
   monotonic_time since = now - view_lag_;
   for (const auto& [vm, other] : others_) {
     if (IsIdle(other) || IsSilent(other, now)) continue;
-    since = std::min(since, other.contact.has_heard);
+    since = std::min(since, other.contact.received_report_sent_at);
   }
   return reported_demand_.MinimumSince(since);
 }
