--- a/include/citron/protocol/share_holder.h
+++ b/include/citron/protocol/share_holder.h
@@ -80,11 +80,13 @@
 // store: renews the share, lowers it for joining VMs, and reclaims expired
 // parts. Each control process has one share_holder. Every event returns the
 // actions to carry out, in order. At most one read or write is in flight at a
-// time. Reading the table renews the lease, counted from before the read,
-// unless the VM's entry is marked as suspect. A VM that needs the leased part
-// of another VM marks that VM's entry, waits for a lease and a margin according
-// to its local clock, and takes the part if the mark still stands. The store
-// must not answer reads from a stale replica.
+// time.
+//
+// Reading the table renews the lease, counted from before the read, unless the
+// VM's entry is marked as suspect. A VM that needs the leased part of another
+// VM marks that VM's entry, waits for a lease and a margin according to its
+// local clock, and takes the part if the mark still stands. The store must not
+// answer reads from a stale replica.
 class share_holder {
  public:
   share_holder(vm_id vm, zone_id zone, std::uint64_t incarnation,
--- a/include/citron/protocol/workspace_quota.h
+++ b/include/citron/protocol/workspace_quota.h
@@ -79,9 +79,10 @@
   void OnReport(const vm_id& vm, const quota_report& report,
                 monotonic_time now);
   void OnContact(const vm_id& vm, const quota_contact& contact);
-  // Marks the VM as listed.
+  // The VM is listed: it no longer expires.
   void KeepVm(const vm_id& vm);
-  // Another VM still receives reports of a VM that is no longer listed.
+  // Another VM still receives reports of a VM that is no longer listed: extends
+  // the time until that VM counts as gone.
   void OnHeardElsewhere(const vm_id& vm, monotonic_time now);
   // The VM is no longer listed. The requests that it has admitted count until
   // the end of the window.
@@ -89,7 +90,7 @@
 
   // Decides whether to admit a request; counts its arrival in either case.
   bool TryAdmit(monotonic_time now);
-  // Returns the token of an admitted request that has not run and never will.
+  // Reverts the admission of a request that has not run and never will.
   void OnNotRun(monotonic_time admitted_at, monotonic_time now);
   // Returns when a rejected request may be retried.
   monotonic_time NextTokenAt(monotonic_time now) const;
--- a/src/protocol/share_holder.cc
+++ b/src/protocol/share_holder.cc
@@ -217,10 +217,10 @@
 
 // Frees the parts that no VM uses any more. The write is a compare-and-swap on
 // the revision at which the marks stood, so it fails if a suspect clears its
-// mark in between. A floor stays while a VM is merely missing from the list of
-// VMs: a zone that is cut off vanishes from the list while it goes on serving.
-// If the floor were taken too early, the zone's workspaces would get their rate
-// on both sides of the partition.
+// mark in between. A floor stays for the floor horizon after a VM is missing
+// from the list of VMs: a zone that is cut off vanishes from the list while it
+// goes on serving. If the floor were taken too early, the zone's workspaces
+// would get their rate on both sides of the partition.
 void share_holder::ReclaimExpired(share_table& next, monotonic_time now) const {
   const duration horizon = settings_.floor_horizon + settings_.margin;
   std::erase_if(next.entries, [&](const share_entry& entry) {
@@ -472,7 +472,8 @@
   Arm(next_read_at_, actions);
 }
 
-// While the store doesn't answer, the backoff stays in force.
+// Schedules a read within `d`. While the store doesn't answer, the backoff
+// stays in force.
 void share_holder::ScheduleReadWithin(duration d, monotonic_time now,
                                       share_actions& actions) {
   if (phase_ != phase::kIdle || failures_ > 0) return;
--- a/tests/protocol/workspace_quota_test.cc
+++ b/tests/protocol/workspace_quota_test.cc
@@ -18,8 +18,8 @@
   for (int i = 0; i < 1000; ++i) BOOST_REQUIRE(quota.TryAdmit(now));
 }
 
-// A workspace sends evenly at five eighths of its rate. The contract grants
-// each of its requests, so almost none may be rejected.
+// A workspace sends evenly at five eighths of its rate. Its requests must not
+// be rejected: the contract grants each of them.
 BOOST_AUTO_TEST_CASE(OrdinaryWorkspaceIsNotRejected) {
   for (const double rate : {5.0, 20.0, 140.0}) {
     BOOST_TEST_CONTEXT("rate " << rate) {
