--- a/src/protocol/share_table.cc
+++ b/src/protocol/share_table.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// An entry is about 100 bytes of the megabyte that a value may have.
+// An entry takes about 100 bytes; a value may have one megabyte.
 constexpr std::size_t kMaxEntries = 8192;
 constexpr std::int64_t kMaxCount = std::numeric_limits<std::int64_t>::max();
 
@@ -37,12 +37,12 @@
   entry.incarnation = static_cast<std::uint64_t>(incarnation);
   entry.writes = static_cast<std::uint64_t>(writes);
   if (!table.entries.empty() && !(table.entries.back().vm < entry.vm)) {
-    reader.Fail("vm", "not sorted, or twice");
+    reader.Fail("vm", "entries are not sorted by VM, or a VM is listed twice");
   }
   table.entries.push_back(std::move(entry));
 }
 
-// 64-bit sums: hostile parts may each be the whole.
+// Sums in 64 bits, since each part of a hostile table may be the whole.
 std::int64_t HeldPpm(const share_table& table) {
   std::int64_t held = 0;
   for (const share_entry& entry : table.entries) {
@@ -106,10 +106,11 @@
   const status finished = reader.Finish();
   if (!IsOk(finished)) return ErrorOf(finished);
   if (table.entries.size() > kMaxEntries) {
-    return MakeError(error_code::kInvalid, "vms: too many");
+    return MakeError(error_code::kInvalid, "vms: too many entries");
   }
   if (HeldPpm(table) > kWholePpm) {
-    return MakeError(error_code::kInvalid, "vms: parts exceed the whole");
+    return MakeError(error_code::kInvalid,
+                     "vms: shares add up to more than the whole");
   }
   return table;
 }
