--- a/src/protocol/ownership.cc
+++ b/src/protocol/ownership.cc
@@ -6,27 +6,27 @@
 
 #include "citron/base/digest.h"
 
-// How exclusiveness comes about.
+// Why ownership is exclusive.
 //
-// An owner is a process whose row is in the table and to which the table
-// assigns the upstream. An assignment is changed by the owner itself, or by a
-// member that takes the owner's row out ("takes over"). So it is enough that no
-// member takes over while the owner may still send. For each member that could,
-// the owner keeps a bound, a time by its own clock before which that member
-// can't, and it stops sending at the earliest of them:
-//  - after a write that took effect, ttl from when the write was asked for: a
-//    member takes over only after it saw the counter of that write stand still
-//    for ttl and margin, and it can't have seen it before it was asked for;
-//  - after a promise, ttl from when the promise was asked for;
-//  - a member that the owner has not acknowledged, which is one that joined
-//    since the owner last wrote, waits for the horizon instead. The owner can't
-//    ask it for promises, as it doesn't know it. In turn an owner never sends
-//    past the horizon since its last write.
-// A sole member is one without acknowledged others: only the horizon binds it.
+// An owner is a process that has a row in the table and to which the table
+// assigns the upstream. Only the owner changes its assignment, or a member that
+// removes the owner's row ("takes over"). So no member may take over while the
+// owner may still send. For each member that could take over, the owner keeps a
+// bound, a time by the owner's clock before which that member can't, and the
+// owner stops sending at the earliest bound:
+//  - after a write that took effect, ttl from the request of the write: a
+//    member takes over only after the counter of that write has stood still for
+//    ttl and margin, and the member can't have read it before the request;
+//  - after a promise, ttl from the request for the promise;
+//  - a member that the owner has not acknowledged, because it joined after the
+//    owner's last write, waits for the horizon instead. The owner doesn't know
+//    that member and can't request promises from it. In turn, an owner never
+//    sends past the horizon since its last write.
+// A sole member has acknowledged no others: only the horizon limits it.
 //
-// What would go wrong with less: two dispatches fill the slots of the same
-// upstream, and it is overloaded without any of them noticing. One would see
-// more requests in flight at the upstream than it has slots.
+// With weaker rules, two dispatches fill the slots of the same upstream and
+// overload it, and neither of them notices. The upstream then has more requests
+// in flight than slots.
 
 namespace citron {
 
@@ -40,15 +40,16 @@
 using ownership_action::send_promise_ask;
 using ownership_action::write_table;
 
-// Answers to older questions are of no use: their ttl has passed.
-constexpr std::size_t kMaxAsks = 8;
-// A store that comes back is not to be met by all at once, and one that is down
-// for an hour not to be asked every second.
+// Promises for older requests are of no use: their ttl has passed.
+constexpr std::size_t kMaxPromiseRequests = 8;
+// Keeps the members from calling a store that comes back all at once, and from
+// calling a store that is down for an hour every second.
 constexpr int kMaxBackoff = 5;
-// Those who stand by look for a free place at leisure.
+// Dispatches that stand by look for a free place less often than members renew.
 constexpr int kStandbyFactor = 5;
-// How many renewals go through another VM before the own control is tried.
-constexpr int kOwnRouteFactor = 10;
+// Renew intervals between attempts to use the local control while calls go
+// through another VM.
+constexpr int kLocalRouteFactor = 10;
 
 vm_id RendezvousWinner(const upstream_id& upstream,
                        const std::set<vm_id>& candidates) {
@@ -84,13 +85,13 @@
 
 ownership::actions ownership::OnTimer(monotonic_time now) {
   actions out;
-  if (call_ && now >= call_->asked + options_.store_timeout) {
+  if (call_ && now >= call_->requested_at + options_.store_timeout) {
     call_.reset();
     AfterFailure(now);
   }
-  if (!call_ && !left_ && now >= next_store_at_) UseStore(now, out);
-  AskPromises(now, out);
-  Finish(now, out);
+  if (!call_ && !has_left_ && now >= next_store_at_) StartStoreCall(now, out);
+  RequestPromises(now, out);
+  EmitChangeAndTimer(now, out);
   return out;
 }
 
@@ -99,26 +100,26 @@
                                           std::uint64_t revision,
                                           monotonic_time now) {
   actions out;
-  if (!TakesCall(call)) return out;
+  if (!CompletesCall(call)) return out;
   store_failures_ = 0;
   next_store_at_ = now + options_.renew_interval;
   if (json.empty()) {
-    TakeTable(ownership_table{}, 0, now);
-    Plan(now, out);
-    Finish(now, out);
+    AdoptTable(ownership_table{}, 0, now);
+    PlanWrite(now, out);
+    EmitChangeAndTimer(now, out);
     return out;
   }
   const result<ownership_table> parsed = ParseOwnershipTable(json);
   if (!IsOk(parsed)) {
-    // Nothing is known, so nothing is taken over or renewed; ownership lapses
-    // by itself until an operator has mended the table.
-    ++bad_tables_;
-    Finish(now, out);
+    // Without a valid table nothing is taken over or renewed; ownership expires
+    // until an operator has repaired the table.
+    ++malformed_tables_;
+    EmitChangeAndTimer(now, out);
     return out;
   }
-  TakeTable(ValueOf(parsed), revision, now);
-  Plan(now, out);
-  Finish(now, out);
+  AdoptTable(ValueOf(parsed), revision, now);
+  PlanWrite(now, out);
+  EmitChangeAndTimer(now, out);
   return out;
 }
 
@@ -127,38 +128,39 @@
                                           std::uint64_t revision,
                                           monotonic_time now) {
   actions out;
-  if (!TakesCall(call)) return out;
+  if (!CompletesCall(call)) return out;
   if (outcome == cas_outcome::kOk) {
-    assert(!attempts_.empty() && attempts_.back().call == call);
-    const attempt written = attempts_.back();
-    attempts_.clear();
+    assert(!pending_writes_.empty() && pending_writes_.back().call == call);
+    const pending_write written = pending_writes_.back();
+    pending_writes_.clear();
     store_failures_ = 0;
     next_store_at_ =
-        now + options_.renew_interval - Jittered(options_.renew_interval / 5);
-    NoteWritten(written);
-    TakeTable(written.table, revision, now);
-    if (leaving_ && !IsMember()) EndLeaving(out);
+        now + options_.renew_interval - RandomUpTo(options_.renew_interval / 5);
+    RecordWrite(written);
+    AdoptTable(written.table, revision, now);
+    if (leaving_ && !IsMember()) FinishLeaving(out);
   } else if (outcome == cas_outcome::kConflict) {
-    // Several members write to one value; a short random wait keeps them from
-    // meeting again.
+    // Several members write to one value; a short random wait avoids repeated
+    // conflicts.
     const auto members = static_cast<int>(table_.members.size() + 1);
-    next_store_at_ = now + Jittered(options_.conflict_backoff * members);
+    next_store_at_ = now + RandomUpTo(options_.conflict_backoff * members);
   } else {
     AfterFailure(now);
   }
-  Finish(now, out);
+  EmitChangeAndTimer(now, out);
   return out;
 }
 
 ownership::actions ownership::OnStoreUnreachable(std::uint64_t call,
                                                  monotonic_time now) {
   actions out;
-  if (!TakesCall(call)) return out;
-  std::erase_if(attempts_, [&](const attempt& a) { return a.call == call; });
-  KeepBounds();
+  if (!CompletesCall(call)) return out;
+  std::erase_if(pending_writes_,
+                [&](const pending_write& a) { return a.call == call; });
+  UpdateTakeoverBounds();
   AfterFailure(now);
-  AskPromises(now, out);
-  Finish(now, out);
+  RequestPromises(now, out);
+  EmitChangeAndTimer(now, out);
   return out;
 }
 
@@ -171,56 +173,59 @@
   answer.number = message.number;
   answer.address = options_.address;
   if (message.to_incarnation != options_.incarnation) {
-    // The process that is asked was this VM's before this one. A process that
-    // is frozen keeps its port, and one that leaves gives it back last; so this
-    // one has its address only because the other has ended.
+    // The request addresses an earlier process of this VM. A frozen process
+    // keeps its port, and a leaving one closes its port last; so this process
+    // has the address only because the earlier one has ended.
     if (message.to_incarnation > options_.incarnation) return {};
     answer.predecessor_gone = true;
     return {send_promise{message.from, answer}};
   }
-  if (!has_table_ || left_) return {};
-  // One that was taken over is told nothing, or it would go on beside its
-  // successor. One that joined after this table was read is simply unknown yet.
+  if (!has_table_ || has_left_) return {};
+  // A sender that was taken over gets no promise, or it would go on sending
+  // beside its successor. A sender that joined after this table was read is not
+  // known here yet.
   const auto row = table_.members.find(message.from);
   const bool is_member = row != table_.members.end() &&
                          row->second.incarnation == message.from_incarnation;
   if (!is_member && message.joined <= table_.epoch) return {};
-  // A write that takes over may still take effect, also when its answer was
-  // lost; a promise can't call it back.
-  for (const attempt& a : attempts_) {
+  // A write that takes over may still take effect, even if its answer was
+  // lost; a promise can't revoke it.
+  for (const pending_write& a : pending_writes_) {
     const auto kept = a.table.members.find(message.from);
     const bool evicts =
         is_member && (kept == a.table.members.end() ||
                       kept->second.incarnation != message.from_incarnation);
     if (evicts) return {};
   }
-  monotonic_time& until = promised_[{message.from, message.from_incarnation}];
-  until = std::max(until, now + WaitFor(options_.ttl));
+  monotonic_time& until =
+      promised_until_[{message.from, message.from_incarnation}];
+  until = std::max(until, now + ObserverWait(options_.ttl));
   return {send_promise{message.from, answer}};
 }
 
 ownership::actions ownership::OnPromise(const promise& message,
                                         monotonic_time now) {
   actions out;
-  const auto ask = asks_.find(message.number);
-  if (ask == asks_.end()) return out;
+  const auto ask = promise_requests_.find(message.number);
+  if (ask == promise_requests_.end()) return out;
   if (message.to_incarnation != options_.incarnation) return out;
-  const auto bound = bounds_.find({message.from, message.from_incarnation});
-  if (bound == bounds_.end()) return out;
+  const auto bound =
+      takeover_bounds_.find({message.from, message.from_incarnation});
+  if (bound == takeover_bounds_.end()) return out;
   if (!message.predecessor_gone) {
     bound->second = std::max(bound->second, ask->second + options_.ttl);
-    Finish(now, out);
+    EmitChangeAndTimer(now, out);
     return out;
   }
-  // The dead can't take over any more, but a write that it sent before may
-  // still arrive. While the bound stands it can't have sent one.
+  // The ended process can't take over any more, but a write that it sent before
+  // may still arrive. Before its bound it can't have sent such a write.
   const auto row = table_.members.find(message.from);
   const bool same_address =
       row != table_.members.end() && row->second.address == message.address;
   if (same_address && now < bound->second) {
     bound->second = monotonic_time::max();
   }
-  Finish(now, out);
+  EmitChangeAndTimer(now, out);
   return out;
 }
 
@@ -231,7 +236,7 @@
   upstreams_ = upstreams;
   has_upstreams_ = true;
   next_store_at_ = std::min(next_store_at_, now);
-  Finish(now, out);
+  EmitChangeAndTimer(now, out);
   return out;
 }
 
@@ -248,7 +253,7 @@
                            entry->second.draining_at == options_.vm;
   if (!leaving_ && !is_draining && !handovers_.contains(upstream)) return out;
   next_store_at_ = std::min(next_store_at_, now);
-  Finish(now, out);
+  EmitChangeAndTimer(now, out);
   return out;
 }
 
@@ -256,31 +261,32 @@
   actions out;
   leaving_ = true;
   next_store_at_ = std::min(next_store_at_, now);
-  if (!IsMember() && attempts_.empty()) EndLeaving(out);
-  Finish(now, out);
+  if (!IsMember() && pending_writes_.empty()) FinishLeaving(out);
+  EmitChangeAndTimer(now, out);
   return out;
 }
 
 ownership::actions ownership::OnGone(const std::set<vm_id>& gone,
                                      monotonic_time now) {
   actions out;
-  if (gone == gone_) return out;
-  gone_ = gone;
+  if (gone == dead_vms_) return out;
+  dead_vms_ = gone;
   next_store_at_ = std::min(next_store_at_, now);
-  Finish(now, out);
+  EmitChangeAndTimer(now, out);
   return out;
 }
 
-// A process that was frozen wakes anywhere, so nothing here is remembered from
-// before: the time is read right before the send, and compared with bounds that
-// only messages move.
+// A frozen process may resume at any instruction, so no earlier result is
+// reused: the time is read right before the send and compared with bounds that
+// only messages change.
 bool ownership::MaySend(const upstream_id& upstream, monotonic_time now) const {
   if (now >= Until()) return false;
   if (handovers_.contains(upstream)) return false;
-  if (!IsMine(table_, upstream)) return false;
-  return std::all_of(attempts_.begin(), attempts_.end(), [&](const attempt& a) {
-    return IsMine(a.table, upstream);
-  });
+  if (!IsAssignedToThisVm(table_, upstream)) return false;
+  return std::all_of(pending_writes_.begin(), pending_writes_.end(),
+                     [&](const pending_write& a) {
+                       return IsAssignedToThisVm(a.table, upstream);
+                     });
 }
 
 int ownership::ReservedSlots(const upstream_id& upstream) const {
@@ -291,18 +297,19 @@
 }
 
 monotonic_time ownership::Until() const {
-  const bool may_own =
-      IsMember() && last_written_ && !left_ && !gone_.contains(options_.vm);
+  const bool may_own = IsMember() && last_written_ && !has_left_ &&
+                       !dead_vms_.contains(options_.vm);
   if (!may_own) return monotonic_time::min();
   monotonic_time until = *last_written_ + options_.horizon;
-  for (const auto& [member, bound] : bounds_) until = std::min(until, bound);
+  for (const auto& [member, bound] : takeover_bounds_)
+    until = std::min(until, bound);
   return until;
 }
 
 std::set<upstream_id> ownership::Owned() const {
   std::set<upstream_id> owned;
   for (const auto& [upstream, entry] : table_.assignments) {
-    if (IsMine(table_, upstream)) owned.insert(upstream);
+    if (IsAssignedToThisVm(table_, upstream)) owned.insert(upstream);
   }
   return owned;
 }
@@ -318,21 +325,21 @@
          row->second.incarnation == options_.incarnation;
 }
 
-bool ownership::IsMine(const ownership_table& table,
-                       const upstream_id& u) const {
+bool ownership::IsAssignedToThisVm(const ownership_table& table,
+                                   const upstream_id& u) const {
   const auto entry = table.assignments.find(u);
   return entry != table.assignments.end() && entry->second.owner == options_.vm;
 }
 
-bool ownership::TakesCall(std::uint64_t call) {
+bool ownership::CompletesCall(std::uint64_t call) {
   if (!call_ || call_->number != call) return false;
   call_.reset();
   return true;
 }
 
-// How long an observer waits for what the other side counts as `period`, by
-// clocks that may run at different rates.
-duration ownership::WaitFor(duration period) const {
+// Returns how long an observer must wait until `period` has surely passed by
+// the other side's clock, which may run at a different rate.
+duration ownership::ObserverWait(duration period) const {
   return period + FromSeconds(ToSeconds(period) * options_.max_rate_error) +
          options_.margin;
 }
@@ -342,69 +349,71 @@
   return found == in_flight_.end() ? 0 : found->second;
 }
 
-duration ownership::Jittered(duration most) {
+duration ownership::RandomUpTo(duration most) {
   return duration(static_cast<duration::rep>(static_cast<double>(most.count()) *
                                              (random_() / 4294967296.0)));
 }
 
-void ownership::TakeTable(ownership_table table, std::uint64_t revision,
-                          monotonic_time now) {
+void ownership::AdoptTable(ownership_table table, std::uint64_t revision,
+                           monotonic_time now) {
   table_ = std::move(table);
   revision_ = revision;
   has_table_ = true;
-  ResolveAttempts();
-  NoteSightings(now);
-  KeepBounds();
-  std::erase_if(handovers_,
-                [&](const auto& item) { return !IsMine(table_, item.first); });
-  std::erase_if(promised_, [&](const auto& item) { return item.second < now; });
-}
-
-// A write whose answer was lost is settled by the table: with another revision
-// than it expected it can't take effect any more, and if it did before, its
-// counter stands in the row.
-void ownership::ResolveAttempts() {
+  ResolvePendingWrites();
+  ObserveRows(now);
+  UpdateTakeoverBounds();
+  std::erase_if(handovers_, [&](const auto& item) {
+    return !IsAssignedToThisVm(table_, item.first);
+  });
+  std::erase_if(promised_until_,
+                [&](const auto& item) { return item.second < now; });
+}
+
+// Settles writes whose answer was lost by the table: once the revision differs
+// from the expected one, a write can't take effect any more; if it took effect
+// before, the row has its counter.
+void ownership::ResolvePendingWrites() {
   const auto row = table_.members.find(options_.vm);
-  for (const attempt& a : attempts_) {
+  for (const pending_write& a : pending_writes_) {
     const bool took_effect = a.expected_revision != revision_ && IsMember() &&
                              row->second.counter == a.counter;
-    if (took_effect) NoteWritten(a);
+    if (took_effect) RecordWrite(a);
   }
-  std::erase_if(attempts_, [&](const attempt& a) {
+  std::erase_if(pending_writes_, [&](const pending_write& a) {
     return a.expected_revision != revision_;
   });
 }
 
-// Counted from when the write was asked for. By the time of the answer others
-// may have watched the counter for as long as the answer was on its way.
-void ownership::NoteWritten(const attempt& written) {
-  last_written_ =
-      std::max(last_written_.value_or(monotonic_time::min()), written.asked);
+// Bounds count from the request of the write: by the time of the answer, other
+// members may have watched the counter for as long as the answer took.
+void ownership::RecordWrite(const pending_write& written) {
+  last_written_ = std::max(last_written_.value_or(monotonic_time::min()),
+                           written.requested_at);
   for (const auto& [vm, row] : written.table.members) {
     if (vm == options_.vm) continue;
-    monotonic_time& bound = bounds_[{vm, row.incarnation}];
-    bound = std::max(bound, written.asked + options_.ttl);
+    monotonic_time& bound = takeover_bounds_[{vm, row.incarnation}];
+    bound = std::max(bound, written.requested_at + options_.ttl);
   }
 }
 
-void ownership::NoteSightings(monotonic_time now) {
-  std::erase_if(sightings_, [&](const auto& item) {
+void ownership::ObserveRows(monotonic_time now) {
+  std::erase_if(row_observations_, [&](const auto& item) {
     return !table_.members.contains(item.first);
   });
   for (const auto& [vm, row] : table_.members) {
-    const auto [at, is_new] = sightings_.try_emplace(vm);
-    sighting& seen = at->second;
+    const auto [at, is_new] = row_observations_.try_emplace(vm);
+    row_observation& seen = at->second;
     const bool same = !is_new && seen.incarnation == row.incarnation &&
                       seen.counter == row.counter;
     if (!same) seen = {row.incarnation, row.counter, now};
   }
 }
 
-// While a write is open, whom it acknowledges may have seen it already; until
-// then nobody is taken off.
-void ownership::KeepBounds() {
-  if (!attempts_.empty()) return;
-  std::erase_if(bounds_, [&](const auto& item) {
+// While a write is pending, the members that it acknowledges may have seen it
+// already, so no bound is removed.
+void ownership::UpdateTakeoverBounds() {
+  if (!pending_writes_.empty()) return;
+  std::erase_if(takeover_bounds_, [&](const auto& item) {
     const auto& [vm, incarnation] = item.first;
     const auto row = table_.members.find(vm);
     return !IsMember() || row == table_.members.end() ||
@@ -414,7 +423,7 @@
   if (!IsMember()) return;
   for (const auto& [vm, row] : table_.members) {
     if (vm == options_.vm || !table_.Acknowledged(options_.vm, vm)) continue;
-    bounds_.try_emplace({vm, row.incarnation}, monotonic_time::min());
+    takeover_bounds_.try_emplace({vm, row.incarnation}, monotonic_time::min());
   }
 }
 
@@ -423,17 +432,17 @@
   ++route_;
   const duration most =
       options_.renew_interval * std::min(store_failures_, kMaxBackoff);
-  next_store_at_ = now + most / 2 + Jittered(most / 2);
+  next_store_at_ = now + most / 2 + RandomUpTo(most / 2);
 }
 
-void ownership::Plan(monotonic_time now, actions& out) {
-  // An operator's word is obeyed also when it is about this VM: the others take
-  // over at once.
-  if (left_ || gone_.contains(options_.vm)) return;
+void ownership::PlanWrite(monotonic_time now, actions& out) {
+  // A VM that an operator declared dead stops writing, also if it is this VM:
+  // the other members take over at once.
+  if (has_left_ || dead_vms_.contains(options_.vm)) return;
   ownership_table next = table_;
   if (!IsMember()) {
     if (leaving_) {
-      EndLeaving(out);
+      FinishLeaving(out);
       return;
     }
     if (!has_upstreams_ || !Join(next, now)) {
@@ -450,13 +459,13 @@
   ClearDrained(next);
   HandOver(next, now);
   TakeUnassigned(next, now);
-  if (leaving_ && HoldsNothing(next)) RemoveMember(next, options_.vm);
+  if (leaving_ && HoldsNoUpstream(next)) RemoveMember(next, options_.vm);
   Write(std::move(next), now, out);
 }
 
-void ownership::EndLeaving(actions& out) {
-  if (left_) return;
-  left_ = true;
+void ownership::FinishLeaving(actions& out) {
+  if (has_left_) return;
+  has_left_ = true;
   out.emplace_back(left{});
 }
 
@@ -464,13 +473,14 @@
   const auto row = next.members.find(options_.vm);
   if (row != next.members.end()) {
     const ownership_member& old = row->second;
-    // A later process of this VM is there; this one is what it replaced.
+    // A later process of this VM has joined and replaced this one.
     if (old.incarnation > options_.incarnation) return false;
-    // The port proves the end of the process before: a frozen one keeps it, the
-    // kernel gives it back only when all threads have ended, and a leaving one
-    // closes it only after its row is out. So its assignments, which stand
-    // under the VM's name, can be gone on with. At another address there is no
-    // such proof, and this process waits like any other observer.
+    // The port proves that the previous process has ended: a frozen process
+    // keeps its port, the kernel frees the port only when all threads have
+    // ended, and a leaving process closes it only after its row is removed. So
+    // this process continues the assignments, which the table lists under the
+    // VM's name. At another address there is no such proof, and this process
+    // waits like any other observer.
     const bool is_replaced = old.address == options_.address;
     if (!is_replaced && !MayEvict(options_.vm, old, now)) return false;
   } else {
@@ -488,16 +498,16 @@
 
 bool ownership::MayEvict(const vm_id& vm, const ownership_member& row,
                          monotonic_time now) const {
-  if (gone_.contains(vm)) return true;
-  const auto seen = sightings_.find(vm);
-  if (seen == sightings_.end()) return false;
+  if (dead_vms_.contains(vm)) return true;
+  const auto seen = row_observations_.find(vm);
+  if (seen == row_observations_.end()) return false;
   const bool is_acknowledged =
       IsMember() && table_.Acknowledged(vm, options_.vm);
   const duration wait =
-      WaitFor(is_acknowledged ? options_.ttl : options_.horizon);
+      ObserverWait(is_acknowledged ? options_.ttl : options_.horizon);
   if (now - seen->second.since < wait) return false;
-  const auto promised = promised_.find({vm, row.incarnation});
-  return promised == promised_.end() || now >= promised->second;
+  const auto promised = promised_until_.find({vm, row.incarnation});
+  return promised == promised_until_.end() || now >= promised->second;
 }
 
 void ownership::Evict(ownership_table& next, monotonic_time now) const {
@@ -524,8 +534,8 @@
   }
 }
 
-// One upstream after the other, as each is without an owner for a moment. A
-// process that leaves has no time for that.
+// Hands over one upstream at a time, as each has no owner for a moment. A
+// leaving process hands over all at once, as it has no time to spare.
 void ownership::HandOver(ownership_table& next, monotonic_time now) {
   const std::set<vm_id> candidates = Candidates(next, now);
   std::vector<upstream_id> released;
@@ -543,21 +553,21 @@
     }
     const bool may_begin = leaving_ || handovers_.empty();
     if (!handovers_.contains(upstream) && !may_begin) continue;
-    // The slots of only one earlier owner can be noted.
+    // An assignment records the slots of only one previous owner.
     if (!entry.draining_at.IsEmpty()) continue;
     HandOverOne(upstream, entry, to, now);
   }
   for (const upstream_id& upstream : released) next.assignments.erase(upstream);
 }
 
-// Long requests may be in flight for minutes. Waiting for them would leave the
-// upstream's other slots idle; so after a while they are counted, and the new
-// owner leaves their slots alone.
+// Long requests may be in flight for minutes, and waiting for them would leave
+// the upstream's other slots idle. After `handover_drain_limit` the assignment
+// records their count, and the new owner doesn't use their slots.
 void ownership::HandOverOne(const upstream_id& upstream,
                             ownership_assignment& entry, const vm_id& to,
                             monotonic_time now) {
   const auto [at, is_new] =
-      handovers_.try_emplace(upstream, now + options_.handover_patience);
+      handovers_.try_emplace(upstream, now + options_.handover_drain_limit);
   const int count = InFlight(upstream);
   if (count == 0) {
     entry = {to, vm_id(), 0};
@@ -577,7 +587,7 @@
   }
 }
 
-bool ownership::HoldsNothing(const ownership_table& table) const {
+bool ownership::HoldsNoUpstream(const ownership_table& table) const {
   return std::none_of(table.assignments.begin(), table.assignments.end(),
                       [&](const auto& item) {
                         return item.second.owner == options_.vm ||
@@ -585,27 +595,29 @@
                       });
 }
 
-// Members that look alive. This only proposes; a wrong guess costs a hand-over.
+// Returns the members that appear alive. The result only guides assignments; a
+// wrong one costs a hand-over.
 std::set<vm_id> ownership::Candidates(const ownership_table& table,
                                       monotonic_time now) const {
   std::set<vm_id> candidates;
   for (const auto& [vm, row] : table.members) {
-    if (row.leaving || gone_.contains(vm)) continue;
-    const auto seen = sightings_.find(vm);
+    if (row.leaving || dead_vms_.contains(vm)) continue;
+    const auto seen = row_observations_.find(vm);
     const bool is_alive =
-        vm == options_.vm || (seen != sightings_.end() &&
-                              now - seen->second.since < WaitFor(options_.ttl));
+        vm == options_.vm ||
+        (seen != row_observations_.end() &&
+         now - seen->second.since < ObserverWait(options_.ttl));
     if (is_alive) candidates.insert(vm);
   }
   return candidates;
 }
 
-// With others in the table it is read first, to see how they fare. A sole
-// member learns of a newcomer by losing the write.
-void ownership::UseStore(monotonic_time now, actions& out) {
+// If the table has other members, reads it first to observe their counters. A
+// lone member learns of a new member by a write conflict.
+void ownership::StartStoreCall(monotonic_time now, actions& out) {
   const bool is_alone = IsMember() && table_.members.size() == 1;
-  if (is_alone && attempts_.empty()) {
-    Plan(now, out);
+  if (is_alone && pending_writes_.empty()) {
+    PlanWrite(now, out);
     return;
   }
   Read(now, out);
@@ -622,76 +634,82 @@
     self->second.counter = ++counter_;
     self->second.seen = next.epoch;
   }
-  // From here on the others may learn that they are acknowledged, and take over
-  // ttl after that; what was valid up to the horizon is cut to that.
+  // From now on the other members may learn that they are acknowledged, and
+  // take over ttl later; this shortens ownership that was valid up to the
+  // horizon.
   for (const auto& [vm, row] : next.members) {
     if (vm == options_.vm || !IsMember()) continue;
-    bounds_.try_emplace({vm, row.incarnation}, now + options_.ttl);
+    takeover_bounds_.try_emplace({vm, row.incarnation}, now + options_.ttl);
   }
   call_ = store_call{++last_call_, now};
   out.emplace_back(write_table{last_call_, Route(false, now),
                                WriteOwnershipTable(next), revision_});
-  attempts_.push_back({last_call_, counter_, revision_, now, std::move(next)});
+  pending_writes_.push_back(
+      {last_call_, counter_, revision_, now, std::move(next)});
 }
 
-// Without the store, all that could take over are asked not to. One that
-// doesn't answer may be cut off from this process but not from the store.
-void ownership::AskPromises(monotonic_time now, actions& out) {
-  if (bounds_.empty() || left_ || !IsMember() || now < next_ask_at_) return;
+// Without the store, requests a promise from every member that could take over.
+// A member that doesn't answer may be cut off from this process but not from
+// the store.
+void ownership::RequestPromises(monotonic_time now, actions& out) {
+  if (takeover_bounds_.empty() || has_left_ || !IsMember() ||
+      now < next_promise_request_at_)
+    return;
   const bool renewed =
       last_written_ && now < *last_written_ + options_.renew_interval * 3 / 2;
   if (renewed) return;
-  // Past the horizon a promise is of no use here, and would only keep the
-  // others from taking over.
+  // Past the horizon a promise doesn't extend ownership, and would only keep
+  // the other members from taking over.
   if (!last_written_ || now >= *last_written_ + options_.horizon) return;
-  next_ask_at_ = now + options_.renew_interval / 2;
-  asks_[++last_ask_] = now;
-  if (asks_.size() > kMaxAsks) asks_.erase(asks_.begin());
-  for (const auto& [member, bound] : bounds_) {
+  next_promise_request_at_ = now + options_.renew_interval / 2;
+  promise_requests_[++last_promise_request_] = now;
+  if (promise_requests_.size() > kMaxPromiseRequests)
+    promise_requests_.erase(promise_requests_.begin());
+  for (const auto& [member, bound] : takeover_bounds_) {
     promise_ask message;
     message.from = options_.vm;
     message.from_incarnation = options_.incarnation;
     message.to_incarnation = member.second;
     message.joined = table_.members.at(options_.vm).joined;
-    message.number = last_ask_;
+    message.number = last_promise_request_;
     out.emplace_back(send_promise_ask{member.first, message});
   }
 }
 
-// After a failure the zone's other members are tried in turn: their controls
-// may reach the store. What worked is kept, as a renewal takes two calls; the
-// own control is tried again after a while.
+// After a failure, tries the zone's other members in turn: their controls may
+// reach the store. A route that worked is kept, as a renewal takes two calls;
+// the local control is retried after `kLocalRouteFactor` renew intervals.
 vm_id ownership::Route(bool is_read, monotonic_time now) {
   std::vector<vm_id> routes = {vm_id()};
   for (const auto& [vm, row] : table_.members) {
     if (vm != options_.vm) routes.push_back(vm);
   }
-  if (is_read && now >= own_route_at_) route_ = 0;
+  if (is_read && now >= local_route_retry_at_) route_ = 0;
   if (route_ % routes.size() == 0) {
-    own_route_at_ = now + options_.renew_interval * kOwnRouteFactor;
+    local_route_retry_at_ = now + options_.renew_interval * kLocalRouteFactor;
   }
   return routes[route_ % routes.size()];
 }
 
-void ownership::Finish(monotonic_time now, actions& out) {
+void ownership::EmitChangeAndTimer(monotonic_time now, actions& out) {
   const monotonic_time until = Until();
   std::set<upstream_id> owned;
   if (now < until) owned = Owned();
-  if (owned != shown_owned_) {
-    shown_owned_ = owned;
+  if (owned != reported_owned_) {
+    reported_owned_ = owned;
     out.emplace_back(ownership_changed{std::move(owned), until});
   }
-  if (left_) return;
+  if (has_left_) return;
   monotonic_time at = now + options_.renew_interval;
   const auto sooner = [&](monotonic_time t) {
     if (t > now) at = std::min(at, t);
   };
   if (call_) {
-    sooner(call_->asked + options_.store_timeout);
+    sooner(call_->requested_at + options_.store_timeout);
   } else {
     at = std::min(at, std::max(now, next_store_at_));
   }
-  sooner(next_ask_at_);
+  sooner(next_promise_request_at_);
   sooner(until);
   out.emplace_back(arm_timer{at});
 }
--- a/tests/protocol/ownership_test.cc
+++ b/tests/protocol/ownership_test.cc
@@ -40,12 +40,12 @@
   options.horizon = FromSeconds(12);
   options.margin = FromSeconds(0.05);
   options.store_timeout = FromSeconds(0.4);
-  options.handover_patience = FromSeconds(0.5);
+  options.handover_drain_limit = FromSeconds(0.5);
   return options;
 }
 
-// One zone's dispatches, a store and a network in one process, with a true
-// clock that none of them sees.
+// Simulates the dispatches of one zone, a store and a network. The dispatches
+// read only their local clocks, not the true time.
 class fake_zone {
  public:
   struct vm {
@@ -54,12 +54,12 @@
     double rate = 1;
     double frozen_until = 0;
     bool up = false;
-    bool leaving = false;  // Nobody sends it new requests.
+    bool leaving = false;  // Gets no new requests.
     bool store_up = true;
     incarnation_number incarnation = 0;
     std::uint16_t port = 9000;
     monotonic_time timer;
-    std::vector<std::function<void()>> waiting;  // Came in while frozen.
+    std::vector<std::function<void()>> waiting;  // Arrived while frozen.
     std::map<upstream_id, int> in_flight;
   };
 
@@ -88,7 +88,7 @@
     v.frozen_until = 0;
     v.in_flight.clear();
     v.timer = LocalNow(v);
-    Do(n, v.machine->OnUpstreams(AllUpstreams(), LocalNow(v)));
+    Execute(n, v.machine->OnUpstreams(AllUpstreams(), LocalNow(v)));
   }
   void Kill(int n) {
     vms[n].up = false;
@@ -98,7 +98,7 @@
   void Leave(int n) {
     vm& v = vms[n];
     v.leaving = true;
-    Do(n, v.machine->OnLeave(LocalNow(v)));
+    Execute(n, v.machine->OnLeave(LocalNow(v)));
   }
   bool Frozen(int n) const { return time < vms[n].frozen_until; }
 
@@ -114,7 +114,7 @@
       if (!v.up || Frozen(n)) continue;
       const auto waiting = std::exchange(v.waiting, {});
       for (const auto& run : waiting) run();
-      if (LocalNow(v) >= v.timer) Do(n, v.machine->OnTimer(LocalNow(v)));
+      if (LocalNow(v) >= v.timer) Execute(n, v.machine->OnTimer(LocalNow(v)));
       Work(n);
     }
     CheckExclusive();
@@ -122,7 +122,7 @@
   void Run(double seconds) {
     for (const double end = time + seconds; time < end;) Step();
   }
-  // Who could send now, also if it is frozen and woke at this moment.
+  // Returns the VMs that may send now; a frozen VM counts as if it resumed now.
   std::vector<int> Senders(const upstream_id& upstream) const {
     std::vector<int> senders;
     for (int n = 0; n < Count(); ++n) {
@@ -155,7 +155,7 @@
     return total;
   }
   int Count() const { return static_cast<int>(vms.size()); }
-  // Requests are begun, and end with this chance in each step.
+  // Chance in each step that a request in flight ends.
   double finish_chance = 0.05;
 
   std::vector<vm> vms;
@@ -184,7 +184,8 @@
     const double delay = longest_delay * random(1000) / 1000;
     events_.push({time + delay, ++event_number_, std::move(run)});
   }
-  // Runs on the VM when it gets there, unless that process ended meanwhile.
+  // Runs `run` on the VM after the network delay, unless its process ends
+  // before.
   void ToVm(int n, std::function<void()> run) {
     const incarnation_number incarnation = vms[n].incarnation;
     const auto guarded = [this, n, incarnation, run = std::move(run)] {
@@ -205,22 +206,22 @@
   }
   static int Number(const vm_id& name) { return name.Str().back() - '0'; }
 
-  void Do(int n, const ownership::actions& list) {
+  void Execute(int n, const ownership::actions& list) {
     for (const ownership::action& a : list) {
-      std::visit([&](const auto& typed) { Act(n, typed); }, a);
+      std::visit([&](const auto& typed) { Perform(n, typed); }, a);
     }
   }
-  void Act(int n, const read_table& a) {
+  void Perform(int n, const read_table& a) {
     if (!Reaches(n, a.via) || Chance(loss)) return Fail(n, a.call);
     Later([this, n, call = a.call] {
       if (Chance(loss)) return;
       ToVm(n, [this, n, call, json = json_, revision = revision_] {
-        Do(n,
-           vms[n].machine->OnTableRead(call, json, revision, LocalNow(vms[n])));
+        Execute(n, vms[n].machine->OnTableRead(call, json, revision,
+                                               LocalNow(vms[n])));
       });
     });
   }
-  void Act(int n, const write_table& a) {
+  void Perform(int n, const write_table& a) {
     if (!Reaches(n, a.via)) return Fail(n, a.call);
     if (Chance(loss)) return;
     Later([this, n, a] {
@@ -231,39 +232,39 @@
       }
       if (Chance(loss)) return;
       ToVm(n, [this, n, ok, call = a.call, revision = revision_] {
-        Do(n, vms[n].machine->OnCasResult(
-                  call, ok ? cas_outcome::kOk : cas_outcome::kConflict,
-                  revision, LocalNow(vms[n])));
+        Execute(n, vms[n].machine->OnCasResult(
+                       call, ok ? cas_outcome::kOk : cas_outcome::kConflict,
+                       revision, LocalNow(vms[n])));
       });
     });
   }
   void Fail(int n, std::uint64_t call) {
     ToVm(n, [this, n, call] {
-      Do(n, vms[n].machine->OnStoreUnreachable(call, LocalNow(vms[n])));
+      Execute(n, vms[n].machine->OnStoreUnreachable(call, LocalNow(vms[n])));
     });
   }
-  void Act(int n, const send_promise_ask& a) {
+  void Perform(int n, const send_promise_ask& a) {
     const int to = Number(a.to);
     if (cut[n][to] || !vms[to].up || Chance(loss)) return;
     ToVm(to, [this, to, m = a.message] {
-      Do(to, vms[to].machine->OnPromiseAsk(m, LocalNow(vms[to])));
+      Execute(to, vms[to].machine->OnPromiseAsk(m, LocalNow(vms[to])));
     });
   }
-  void Act(int n, const send_promise& a) {
+  void Perform(int n, const send_promise& a) {
     const int to = Number(a.to);
     if (cut[n][to] || !vms[to].up || Chance(loss)) return;
     ToVm(to, [this, to, m = a.message] {
-      Do(to, vms[to].machine->OnPromise(m, LocalNow(vms[to])));
+      Execute(to, vms[to].machine->OnPromise(m, LocalNow(vms[to])));
     });
   }
-  void Act(int, const ownership_changed&) {}
-  void Act(int n, const left&) {
+  void Perform(int, const ownership_changed&) {}
+  void Perform(int n, const left&) {
     ++left_count;
     Later([this, n, incarnation = vms[n].incarnation] {
       if (vms[n].incarnation == incarnation && vms[n].up) Kill(n);
     });
   }
-  void Act(int n, const arm_timer& a) { vms[n].timer = a.at; }
+  void Perform(int n, const arm_timer& a) { vms[n].timer = a.at; }
 
   void Work(int n) {
     vm& v = vms[n];
@@ -275,7 +276,7 @@
       const bool asked = !v.leaving && count < slots;
       if (asked && v.machine->MaySend(u, LocalNow(v))) ++count;
       if (count != before) {
-        Do(n, v.machine->OnInFlight(u, count, LocalNow(v)));
+        Execute(n, v.machine->OnInFlight(u, count, LocalNow(v)));
       }
       if (check_slots) BOOST_REQUIRE_LE(TotalInFlight(u), kSlots);
     }
@@ -292,7 +293,7 @@
   std::uint64_t revision_ = 0;
 };
 
-void Fault(fake_zone& zone) {
+void InjectFault(fake_zone& zone) {
   const int n = static_cast<int>(zone.random(zone.vms.size()));
   const int other = static_cast<int>(zone.random(zone.vms.size()));
   fake_zone::vm& v = zone.vms[n];
@@ -307,7 +308,7 @@
     case 3:
     case 4:
       if (v.up) break;
-      // Now and then it gets another address than before.
+      // One restart in five gets another address.
       if (zone.random(5) == 0) ++v.port;
       zone.Start(n);
       break;
@@ -355,8 +356,8 @@
   }
 }
 
-// One entry VM in the zone, and the store is down for minutes. The zone goes on
-// being served, up to the horizon.
+// A sole member of a zone must keep its ownership up to the horizon while the
+// store is down, or the zone is not served.
 BOOST_AUTO_TEST_CASE(SoleMemberGoesOnWithoutStore) {
   fake_zone zone(1, 1);
   zone.Start(0);
@@ -372,8 +373,8 @@
   BOOST_TEST(zone.AllOwned());
 }
 
-// The store is down and two VMs share the zone. Each goes on by the other's
-// promises; when they are cut off from each other too, both stop.
+// While the store is down, each of two members keeps its ownership by the
+// other's promises; when they are cut off from each other too, both must stop.
 BOOST_AUTO_TEST_CASE(PromisesCarryMembersThroughStoreOutage) {
   fake_zone zone(2, 2);
   zone.Start(0);
@@ -390,8 +391,8 @@
   BOOST_TEST(zone.OwnedCount(0) + zone.OwnedCount(1) == 0);
 }
 
-// One VM of two loses the store, but not the other VM, which renews for it.
-BOOST_AUTO_TEST_CASE(RenewalIsRelayedByFellow) {
+// One VM of two can't reach the store, and the other VM relays its renewals.
+BOOST_AUTO_TEST_CASE(RenewalIsRelayedByOtherMember) {
   fake_zone zone(2, 3);
   zone.Start(0);
   zone.Start(1);
@@ -402,8 +403,8 @@
   BOOST_TEST(zone.OwnedCount(0) > 0);
 }
 
-// A member dies for good. Its upstreams must have an owner again soon, although
-// nobody says that it is dead.
+// After a member dies for good, its upstreams must soon have an owner again,
+// although no operator declares it dead.
 BOOST_AUTO_TEST_CASE(DeadMemberIsTakenOver) {
   fake_zone zone(3, 4);
   for (int n = 0; n < 3; ++n) zone.Start(n);
@@ -413,11 +414,11 @@
   BOOST_TEST(zone.AllOwned());
 }
 
-// The zone's only VM dies and another takes its place. Without an operator's
-// word the newcomer waits for the horizon, as the dead one might be cut off and
-// still at work; with it, it owns at once.
+// The zone's only VM dies and another takes its place. Unless an operator
+// declares the first VM dead, the new VM must wait for the horizon, as the
+// first might be cut off and still send; after the declaration it owns at once.
 BOOST_AUTO_TEST_CASE(NewcomerWaitsForHorizonOrOperator) {
-  for (const bool is_told : {false, true}) {
+  for (const bool is_declared_dead : {false, true}) {
     fake_zone zone(2, 5);
     zone.Start(0);
     zone.Run(2);
@@ -425,7 +426,7 @@
     zone.Start(1);
     zone.Run(3);
     BOOST_TEST(zone.OwnedCount(1) == 0);
-    if (is_told) {
+    if (is_declared_dead) {
       zone.vms[1].machine->OnGone({fake_zone::Name(0)},
                                   zone.LocalNow(zone.vms[1]));
       zone.Run(1);
@@ -436,8 +437,8 @@
   }
 }
 
-// The only dispatch of the zone crashes and starts again on the same port. It
-// must not wait for the horizon of its own dead predecessor.
+// The only dispatch of the zone crashes and restarts on the same port. The new
+// process must not wait for the horizon of its dead predecessor.
 BOOST_AUTO_TEST_CASE(RestartedProcessOwnsAtOnce) {
   fake_zone zone(1, 6);
   zone.Start(0);
@@ -448,8 +449,8 @@
   BOOST_TEST(zone.OwnedCount(0) == kUpstreams);
 }
 
-// With the store down, one of two members restarts. Its new process can't join,
-// but it can say that the old one has ended, so the other goes on.
+// One of two members restarts while the store is down. Its new process can't
+// join but reports that the old one has ended, so the other member goes on.
 BOOST_AUTO_TEST_CASE(RestartDuringStoreOutageDoesNotStopTheOther) {
   fake_zone zone(2, 7);
   zone.Start(0);
@@ -465,9 +466,9 @@
   BOOST_TEST(zone.OwnedCount(0) == before);
 }
 
-// VMs come, and leave gracefully while long requests are in flight. If a new
-// owner began beside the old one's requests, the upstream would get more than
-// it has slots for.
+// VMs join, and one leaves gracefully while long requests are in flight. A new
+// owner that ignored the old owner's requests would send the upstream more
+// requests than it has slots.
 BOOST_AUTO_TEST_CASE(HandOverKeepsToTheSlots) {
   fake_zone zone(3, 8);
   zone.check_slots = true;
@@ -484,7 +485,7 @@
   BOOST_TEST(zone.AllOwned());
 }
 
-// One machine that is fed by hand.
+// Feeds scripted events to one ownership object.
 struct scripted {
   ownership machine;
   std::uint64_t call = 0;
@@ -522,8 +523,8 @@
   }
 };
 
-// A member that is asked for a promise has taken over already, but the answer
-// to its write was lost. If it promised, both would send.
+// A promise request reaches a member that may have taken over already, as the
+// answer to its write was lost. If it promised, both members would send.
 BOOST_AUTO_TEST_CASE(NoPromiseWhileTakeOverIsOpen) {
   ownership_table table;
   table.epoch = 2;
@@ -545,8 +546,8 @@
   BOOST_TEST(b.machine.OnPromiseAsk(ask, b.At(5.2)).empty());
 }
 
-// A leaving owner gives its upstream back, and the answer to that write is
-// lost. Someone else may have taken the upstream since.
+// A leaving owner releases its upstream, and the answer to that write is lost.
+// Another member may have taken the upstream since.
 BOOST_AUTO_TEST_CASE(NoSendWhileReleaseIsOpen) {
   scripted b;
   b.Timer(1);
@@ -564,9 +565,9 @@
   BOOST_TEST(!b.machine.MaySend(Upstream(0), b.At(1.3)));
 }
 
-// A sole member comes back to the store after a while, finds a newcomer and
-// acknowledges it, and the answer is lost. The newcomer may take over from then
-// on, so the old one must not go on up to the horizon.
+// A sole member reaches the store again, finds a new member and acknowledges
+// it, and the answer is lost. The new member may take over ttl later, so the
+// old one must not go on up to the horizon.
 BOOST_AUTO_TEST_CASE(OpenAcknowledgementEndsTheHorizon) {
   scripted b;
   b.Timer(1);
@@ -586,9 +587,9 @@
   BOOST_TEST(!b.machine.MaySend(Upstream(0), b.At(5.2)));
 }
 
-// The other member has died and its new process says so. If it died before the
-// bound was over, it can't have taken over; afterwards, its write may be on the
-// way.
+// The other member's new process reports that the old one has ended. If the
+// report comes before the bound, the old process can't have taken over; after
+// the bound, its write may be in flight.
 BOOST_AUTO_TEST_CASE(DeadMembersWriteMayStillArrive) {
   ownership_table table;
   table.epoch = 1;
@@ -611,22 +612,22 @@
   }
 }
 
-// The store holds a table that no member wrote. Acting on half of it could give
-// an upstream two owners, so the owner lets its ownership lapse.
+// The store holds a malformed table. Acting on a partly read table could give
+// an upstream two owners, so the member neither writes nor sends.
 BOOST_AUTO_TEST_CASE(BadTableIsLeftAlone) {
   scripted b;
   b.Timer(1);
   b.TableRead("{\"epoch\":", 3, 1);
   BOOST_TEST(!b.wrote);
-  BOOST_TEST(b.machine.BadTables() == 1u);
+  BOOST_TEST(b.machine.MalformedTables() == 1u);
   BOOST_TEST(!b.machine.MaySend(Upstream(0), b.At(1)));
 }
 
-// Anything at any time: processes freeze, die and come back, VMs are cut off
-// from each other and from the store, the store goes away, writes take effect
-// late or without an answer. Two VMs that may send to one upstream at the same
-// time overload it; an upstream without an owner after all is well again is
-// lost for its callers.
+// Random faults: processes freeze, die and restart, VMs are cut off from each
+// other and from the store, the store fails, writes take effect late or without
+// an answer. Two VMs that may send to one upstream at the same time overload
+// it; an upstream without an owner after all faults end is lost for its
+// callers.
 BOOST_AUTO_TEST_CASE(RandomFaultsNeverGiveTwoOwners) {
   for (std::uint64_t seed = 1; seed <= 150; ++seed) {
     const int count = 1 + static_cast<int>(seed % 4);
@@ -634,7 +635,7 @@
     for (int n = 0; n < count; ++n) zone.Start(n);
     for (int round = 0; round < 60; ++round) {
       zone.Run(0.01 * zone.random(200));
-      Fault(zone);
+      InjectFault(zone);
     }
     BOOST_TEST_INFO("seed " << seed);
     BOOST_REQUIRE_EQUAL(zone.exclusive_failures, 0);
@@ -645,7 +646,7 @@
       zone.vms[n].store_up = true;
       zone.cut[n].assign(zone.cut[n].size(), false);
     }
-    // Those that leave get done first.
+    // Lets leaving VMs finish first.
     zone.Run(10);
     for (int n = 0; n < count; ++n) {
       if (!zone.vms[n].up) zone.Start(n);
