--- a/include/citron/protocol/membership.h
+++ b/include/citron/protocol/membership.h
@@ -18,15 +18,15 @@
 namespace citron {
 
 enum class member_state {
-  kListed,    // On the platform's list, not heard yet.
-  kLive,      // Heard lately, or its zone's relay heard it.
-  kSilent,    // Not heard for some heartbeats. No proof of death.
-  kDraining,  // An operator drains it.
-  kLeaving,   // Said so itself, or the platform's list says so.
-  kGone,      // An operator says that it is dead.
+  kListed,    // On the platform's list, no report received yet.
+  kLive,      // Reported recently, itself or through its zone's relay.
+  kSilent,    // No reports for several heartbeat intervals. No proof of death.
+  kDraining,  // Drained by an operator.
+  kLeaving,   // By its own report or the platform's list.
+  kGone,      // Declared dead by an operator.
 };
 
-// What is told of a VM; endpoints may be empty when not known.
+// Description of a VM in reports; unknown endpoints are empty.
 struct member_info {
   vm_id vm;
   zone_id zone;
@@ -36,13 +36,14 @@
   endpoint dispatch;
   incarnation_number incarnation = 0;
   bool leaving = false;
-  // Not heard by its own zone. Only in what a relay says.
+  // The VM's zone receives no heartbeats from it. Set only in reports of a
+  // relay.
   bool silent = false;
 
   friend bool operator==(const member_info&, const member_info&) = default;
 };
 
-// A line of the platform's lagging list.
+// An entry of the platform's list of VMs, which lags behind.
 struct listed_vm {
   vm_id vm;
   zone_id zone;
@@ -59,9 +60,9 @@
   std::uint64_t sequence = 0;
   config_revision revision = 0;
   duration config_age{};
-  // When the next one is due, so that the receiver knows what is late.
+  // Time until the next heartbeat, which lets the receiver detect a missed one.
   duration interval{};
-  // Digest of what the sender knows of the other zones; 0 if all-to-all.
+  // Hash of the sender's view of the other zones; 0 if all-to-all.
   std::uint64_t world_hash = 0;
 };
 
@@ -78,7 +79,7 @@
   duration interval{};
 };
 
-// Asks for the zones where the sender's hash differs from the receiver's.
+// Requests the members of the zones whose hash differs at the receiver.
 struct zone_pull {
   vm_id from;
   zone_id zone;
@@ -86,7 +87,7 @@
   zone_hashes hashes;
 };
 
-// Members of a zone, as its relay knows them: all, or only the changed ones.
+// Members of a zone in its relay's view: all, or only the changed ones.
 struct zone_members {
   zone_id zone;
   bool complete = false;
@@ -95,14 +96,14 @@
 
 struct membership_options {
   member_info self;
-  // Up to so many VMs each sends to all.
+  // Fleets of at most this many VMs send heartbeats all-to-all.
   std::size_t all_to_all_limit = 24;
   duration min_interval = FromMilliseconds(1000);
-  // The interval grows with the zone so that heartbeats stay below this.
+  // The interval grows with the zone to keep heartbeats below this rate.
   double bytes_per_s = 1000;
-  double heartbeat_bytes = 130;
-  // A member is silent after so many intervals.
-  int missed_limit = 4;
+  double bytes_per_heartbeat = 130;
+  // A member is silent after this many intervals without a heartbeat.
+  int missed_heartbeats_limit = 4;
 };
 
 namespace membership_action {
@@ -131,7 +132,7 @@
   member_info member;
   member_state state = member_state::kListed;
 };
-// A peer's configuration, for config_replica::OnPeerRevision.
+// A peer's configuration revision, for config_replica::OnPeerRevision.
 struct peer_revision {
   vm_id vm;
   config_revision revision = 0;
@@ -143,8 +144,8 @@
 
 }  // namespace membership_action
 
-// Which VMs there are and which of them to send callers to. What it says
-// steers look-ups only; it is no proof of death for ownership or shares.
+// Tracks which VMs exist and which of them callers may be sent to. Its states
+// affect look-ups only; they are no proof of death for ownership or shares.
 class membership {
  public:
   using action = std::variant<
@@ -158,7 +159,7 @@
 
   actions OnPlatformList(const std::vector<listed_vm>& list,
                          monotonic_time now);
-  // The operators' words.
+  // Sets the VMs that operators drain and those that they have declared dead.
   actions OnOperatorWords(const std::set<vm_id>& drained,
                           const std::set<vm_id>& gone, monotonic_time now);
   actions OnHeartbeat(const heartbeat& message, monotonic_time now);
@@ -166,19 +167,21 @@
   actions OnZonePull(const zone_pull& message) const;
   actions OnZoneMembers(const vm_id& from, const zone_members& message,
                         monotonic_time now);
-  // Sends what is due and finds who has become silent.
+  // Sends due messages and detects members that have become silent.
   actions OnTimer(monotonic_time now);
   actions OnLeave(monotonic_time now);
 
-  // What heartbeats carry; kept up to date by the driver.
+  // Sets what heartbeats carry; the driver keeps it up to date.
   void SetConfig(config_revision revision, duration age);
   void SetEndpoints(const endpoint& entry, const endpoint& dispatch);
 
   std::optional<member_state> StateOf(const vm_id& vm) const;
   const member_info* Find(const vm_id& vm) const;
-  // VMs that look-ups may name: live, and listed ones not heard yet.
+  // Returns the VMs that look-ups may name: live ones, and listed ones without
+  // a report yet.
   std::vector<member_info> Usable() const;
-  // Lowest id of the zone's members that are live; empty if there is none.
+  // Returns the member with the lowest id that can relay for the zone, live or
+  // draining; empty if there is none.
   vm_id RelayOf(const zone_id& zone) const;
   bool IsRelay() const;
   bool AllToAll() const;
@@ -191,61 +194,61 @@
     std::uint64_t sequence = 0;
     bool listed = false;
     bool listed_leaving = false;
-    bool heard = false;         // By itself or through a relay.
-    bool heard_direct = false;  // By its own heartbeat, last.
-    monotonic_time silent_at;   // Counts as silent from here, if heard direct.
-    monotonic_time forget_at;
-    member_state shown = member_state::kListed;
-    bool is_shown = false;
+    bool reported = false;           // Directly or through a relay.
+    bool reported_directly = false;  // The last report was its heartbeat.
+    monotonic_time silent_at;  // Silent from then on if it reports directly.
+    monotonic_time remove_at;
+    member_state reported_state = member_state::kListed;
+    bool has_reported_state = false;
   };
-  // What a zone's relays said lately; kept by a relay only.
-  struct zone_contact {
+  // Last contact with a remote zone's relay; kept only by a relay.
+  struct relay_contact {
     monotonic_time silent_at;
     vm_id relay;
     incarnation_number incarnation = 0;
     std::uint64_t sequence = 0;
   };
-  struct cached_hashes {
-    std::optional<std::uint64_t> told;
-    std::optional<std::uint64_t> judged;
+  struct zone_hash_cache {
+    std::optional<std::uint64_t> received;
+    std::optional<std::uint64_t> evaluated;
   };
 
   bool IsSelf(const vm_id& vm) const { return vm == options_.self.vm; }
-  bool IsOwnZone(const zone_id& z) const { return z == options_.self.zone; }
-  member_state Judge(const record& r, monotonic_time now) const;
-  bool Refresh(record& r, bool changed, monotonic_time now, actions& out);
-  void RefreshAll(monotonic_time now, actions& out);
-  void RefreshContacts(monotonic_time now);
-  void TellChange(const record& r, actions& out);
+  bool IsLocalZone(const zone_id& z) const { return z == options_.self.zone; }
+  member_state EvaluateState(const record& r, monotonic_time now) const;
+  bool UpdateState(record& r, bool changed, monotonic_time now, actions& out);
+  void UpdateAllStates(monotonic_time now, actions& out);
+  void UpdateContacts(monotonic_time now);
+  void SendChange(const record& r, actions& out);
   record& Add(const member_info& info);
-  void Forget(const vm_id& vm);
-  bool TakeInfo(const member_info& info, bool direct, monotonic_time now);
-  void DropAbsent(const zone_members& message);
+  void Remove(const vm_id& vm);
+  bool UpdateInfo(const member_info& info, bool direct, monotonic_time now);
+  void RemoveAbsent(const zone_members& message);
   void SendHeartbeats(actions& out);
   void SendDigests(actions& out);
-  void TellRelays(const zone_members& message, actions& out);
-  void TellZone(const zone_members& message, actions& out);
-  const member_info* Target(const zone_id& zone) const;
+  void SendToRelays(const zone_members& message, actions& out);
+  void SendToLocalZone(const zone_members& message, actions& out);
+  const member_info* ZoneReceiver(const zone_id& zone) const;
   bool ZoneIsSilent(const zone_id& zone, monotonic_time now) const;
-  zone_members MembersOf(const zone_id& zone, bool judged) const;
-  std::uint64_t HashOf(const zone_id& zone, bool judged) const;
-  zone_hashes ToldHashes() const;
-  std::uint64_t WorldHash() const;
-  zone_pull MakePull() const;
-  duration SilentAfter(duration interval) const;
+  zone_members MembersOf(const zone_id& zone, bool evaluated) const;
+  std::uint64_t ZoneHash(const zone_id& zone, bool evaluated) const;
+  zone_hashes ReceivedHashes() const;
+  std::uint64_t RemoteZonesHash() const;
+  zone_pull MakeZonePull() const;
+  duration SilenceLimit(duration interval) const;
 
   membership_options options_;
   std::map<vm_id, record> members_;  // Without self.
   std::map<zone_id, std::set<vm_id>> zones_;
-  std::map<zone_id, zone_contact> contacts_;
-  mutable std::map<zone_id, cached_hashes> hashes_;
+  std::map<zone_id, relay_contact> relay_contacts_;
+  mutable std::map<zone_id, zone_hash_cache> hashes_;
   std::set<vm_id> drained_;
-  std::set<vm_id> gone_;
+  std::set<vm_id> dead_vms_;
   std::uint64_t sequence_ = 0;
   config_revision revision_ = 0;
   duration config_age_ = duration::max();
-  monotonic_time next_at_ = monotonic_time::min();
-  int world_mismatches_ = 0;
+  monotonic_time next_heartbeat_at_ = monotonic_time::min();
+  int remote_hash_mismatches_ = 0;
 };
 
 }  // namespace citron
--- a/src/protocol/membership.cc
+++ b/src/protocol/membership.cc
@@ -18,13 +18,13 @@
 using membership_action::send_zone_members;
 using membership_action::send_zone_pull;
 
-// A heartbeat may not claim that the next one is due next week: its sender
-// would look alive for as long after its death.
-constexpr duration kLongestInterval = std::chrono::seconds(30);
-// A VM that is neither on the list nor heard is kept so long, as the list lags
-// and a cut-off zone may vanish from it and come back.
-constexpr duration kForgetAfter = std::chrono::minutes(30);
-// One differing hash is usual while a change is on its way; two in a row mean
+// Limits the interval that a heartbeat may announce: with a longer one, its
+// sender would appear alive for as long after its death.
+constexpr duration kMaxInterval = std::chrono::seconds(30);
+// Retention of a VM that is neither listed nor live: the list lags, and a
+// cut-off zone may vanish from it and come back.
+constexpr duration kRetention = std::chrono::minutes(30);
+// One differing hash is usual while a change is in flight; two in a row mean
 // that a message was lost.
 constexpr int kMismatchesBeforePull = 2;
 
@@ -38,9 +38,9 @@
   return state == member_state::kLive || state == member_state::kListed;
 }
 
-// A member that a relay's list has is told as silent when nobody hears it,
-// also if an operator drains it.
-bool IsSilentNow(member_state state) {
+// A relay reports a member as silent if no heartbeats arrive from it or it is
+// declared dead, also if an operator drains it.
+bool CountsAsSilent(member_state state) {
   return state == member_state::kSilent || state == member_state::kGone;
 }
 
@@ -63,11 +63,11 @@
     record& r = Add(info);
     r.listed = true;
     r.listed_leaving = line.leaving;
-    r.forget_at = now + kForgetAfter;
-    // What the VM says of itself is newer than the lagging list.
-    if (!r.heard) r.info.control = line.control;
+    r.remove_at = now + kRetention;
+    // The VM's own report is newer than the lagging list.
+    if (!r.reported) r.info.control = line.control;
   }
-  RefreshAll(now, out);
+  UpdateAllStates(now, out);
   return out;
 }
 
@@ -76,8 +76,8 @@
                                                 monotonic_time now) {
   actions out;
   drained_ = drained;
-  gone_ = gone;
-  RefreshAll(now, out);
+  dead_vms_ = gone;
+  UpdateAllStates(now, out);
   return out;
 }
 
@@ -86,7 +86,7 @@
   const member_info& from = message.member;
   if (IsSelf(from.vm) || from.vm.IsEmpty()) return {};
   const auto known = members_.find(from.vm);
-  if (known != members_.end() && known->second.heard) {
+  if (known != members_.end() && known->second.reported) {
     const record& r = known->second;
     const bool is_late = from.incarnation < r.info.incarnation ||
                          (from.incarnation == r.info.incarnation &&
@@ -94,50 +94,50 @@
     if (is_late) return {};
   }
   actions out;
-  const bool changed = TakeInfo(from, true, now);
+  const bool changed = UpdateInfo(from, true, now);
   record& r = members_.at(from.vm);
   r.sequence = message.sequence;
-  r.silent_at = now + SilentAfter(message.interval);
-  if (Refresh(r, changed, now, out)) TellChange(r, out);
+  r.silent_at = now + SilenceLimit(message.interval);
+  if (UpdateState(r, changed, now, out)) SendChange(r, out);
   out.emplace_back(
       peer_revision{from.vm, message.revision, message.config_age});
-  const bool is_my_relay =
-      IsOwnZone(from.zone) && !IsRelay() && RelayOf(from.zone) == from.vm;
-  if (!is_my_relay || message.world_hash == 0) return out;
-  if (message.world_hash == WorldHash()) {
-    world_mismatches_ = 0;
-  } else if (++world_mismatches_ >= kMismatchesBeforePull) {
-    world_mismatches_ = 0;
-    out.emplace_back(send_zone_pull{from.vm, from.control, MakePull()});
+  const bool is_local_relay =
+      IsLocalZone(from.zone) && !IsRelay() && RelayOf(from.zone) == from.vm;
+  if (!is_local_relay || message.world_hash == 0) return out;
+  if (message.world_hash == RemoteZonesHash()) {
+    remote_hash_mismatches_ = 0;
+  } else if (++remote_hash_mismatches_ >= kMismatchesBeforePull) {
+    remote_hash_mismatches_ = 0;
+    out.emplace_back(send_zone_pull{from.vm, from.control, MakeZonePull()});
   }
   return out;
 }
 
 membership::actions membership::OnZoneDigest(const zone_digest& message,
                                              monotonic_time now) {
-  if (IsOwnZone(message.zone) || IsSelf(message.relay)) return {};
-  zone_contact& contact = contacts_[message.zone];
-  // While two members of a zone both take themselves for its relay, each is
-  // counted by itself; what they send is the same in the end.
+  if (IsLocalZone(message.zone) || IsSelf(message.relay)) return {};
+  relay_contact& contact = relay_contacts_[message.zone];
+  // While two members of a zone both act as its relay, the sequence of one
+  // isn't compared with that of the other; their reports converge.
   const bool is_same = contact.relay == message.relay;
   const bool is_late =
       is_same && (message.incarnation < contact.incarnation ||
                   (message.incarnation == contact.incarnation &&
                    message.sequence <= contact.sequence));
   if (is_late) return {};
-  contact = {now + SilentAfter(message.interval), message.relay,
+  contact = {now + SilenceLimit(message.interval), message.relay,
              message.incarnation, message.sequence};
   actions out;
-  // Members of a zone that was cut off come back with its digest.
+  // Members of a zone that was cut off become live again with its digest.
   for (const vm_id& vm : zones_[message.zone]) {
     record& r = members_.at(vm);
-    if (Refresh(r, false, now, out)) TellChange(r, out);
+    if (UpdateState(r, false, now, out)) SendChange(r, out);
   }
   out.emplace_back(
       peer_revision{message.relay, message.revision, message.config_age});
-  if (message.hash != HashOf(message.zone, false)) {
+  if (message.hash != ZoneHash(message.zone, false)) {
     out.emplace_back(
-        send_zone_pull{message.relay, message.control, MakePull()});
+        send_zone_pull{message.relay, message.control, MakeZonePull()});
   }
   return out;
 }
@@ -145,20 +145,21 @@
 membership::actions membership::OnZonePull(const zone_pull& message) const {
   actions out;
   const auto answer = [&](const zone_id& zone) {
-    const auto theirs = message.hashes.find(zone);
-    const bool is_same =
-        theirs != message.hashes.end() && theirs->second == HashOf(zone, true);
+    const auto sender_hash = message.hashes.find(zone);
+    const bool is_same = sender_hash != message.hashes.end() &&
+                         sender_hash->second == ZoneHash(zone, true);
     if (is_same) return;
     out.emplace_back(send_zone_members{message.from, message.control,
                                        MembersOf(zone, true)});
   };
-  // Another zone is told of this zone only: each zone speaks for itself.
-  if (!IsOwnZone(message.zone)) {
+  // A remote zone gets the members of this zone only: each zone reports its own
+  // members.
+  if (!IsLocalZone(message.zone)) {
     answer(options_.self.zone);
     return out;
   }
   for (const auto& [zone, vms] : zones_) {
-    if (!IsOwnZone(zone)) answer(zone);
+    if (!IsLocalZone(zone)) answer(zone);
   }
   return out;
 }
@@ -167,36 +168,36 @@
                                               const zone_members& message,
                                               monotonic_time now) {
   actions out;
-  if (IsOwnZone(message.zone) || AllToAll()) return out;
-  zone_members news{message.zone, false, {}};
+  if (IsLocalZone(message.zone) || AllToAll()) return out;
+  zone_members update{message.zone, false, {}};
   for (const member_info& info : message.members) {
     if (info.zone != message.zone || info.vm.IsEmpty()) continue;
-    if (!TakeInfo(info, false, now)) continue;
-    news.members.push_back(info);
-    Refresh(members_.at(info.vm), true, now, out);
+    if (!UpdateInfo(info, false, now)) continue;
+    update.members.push_back(info);
+    UpdateState(members_.at(info.vm), true, now, out);
   }
-  if (message.complete) DropAbsent(message);
-  // Who is told by another zone passes it on; who is told by a fellow doesn't,
-  // so that a message makes at most one round.
+  if (message.complete) RemoveAbsent(message);
+  // A report from another zone is forwarded within this zone; a report from
+  // this zone isn't, so that each message is forwarded at most once.
   const auto sender = members_.find(from);
-  const bool from_fellow =
-      sender != members_.end() && IsOwnZone(sender->second.info.zone);
-  if (from_fellow) return out;
-  if (!news.members.empty()) TellZone(news, out);
+  const bool from_local_zone =
+      sender != members_.end() && IsLocalZone(sender->second.info.zone);
+  if (from_local_zone) return out;
+  if (!update.members.empty()) SendToLocalZone(update, out);
   return out;
 }
 
 membership::actions membership::OnTimer(monotonic_time now) {
   actions out;
-  RefreshContacts(now);
-  RefreshAll(now, out);
-  if (now >= next_at_) {
+  UpdateContacts(now);
+  UpdateAllStates(now, out);
+  if (now >= next_heartbeat_at_) {
     ++sequence_;
     SendHeartbeats(out);
     if (!AllToAll() && IsRelay()) SendDigests(out);
-    next_at_ = now + Interval();
+    next_heartbeat_at_ = now + Interval();
   }
-  out.emplace_back(arm_timer{next_at_});
+  out.emplace_back(arm_timer{next_heartbeat_at_});
   return out;
 }
 
@@ -206,12 +207,12 @@
   options_.self.leaving = true;
   hashes_.erase(options_.self.zone);
   if (was_relay) {
-    TellRelays({options_.self.zone, false, {options_.self}}, out);
+    SendToRelays({options_.self.zone, false, {options_.self}}, out);
   }
   ++sequence_;
   SendHeartbeats(out);
-  next_at_ = now + Interval();
-  out.emplace_back(arm_timer{next_at_});
+  next_heartbeat_at_ = now + Interval();
+  out.emplace_back(arm_timer{next_heartbeat_at_});
   return out;
 }
 
@@ -229,7 +230,7 @@
 std::optional<member_state> membership::StateOf(const vm_id& vm) const {
   const auto found = members_.find(vm);
   if (found == members_.end()) return std::nullopt;
-  return found->second.shown;
+  return found->second.reported_state;
 }
 
 const member_info* membership::Find(const vm_id& vm) const {
@@ -241,7 +242,7 @@
 std::vector<member_info> membership::Usable() const {
   std::vector<member_info> usable;
   for (const auto& [vm, r] : members_) {
-    if (IsUsable(r.shown)) usable.push_back(r.info);
+    if (IsUsable(r.reported_state)) usable.push_back(r.info);
   }
   if (!options_.self.leaving && !drained_.contains(options_.self.vm)) {
     usable.push_back(options_.self);
@@ -255,15 +256,16 @@
   if (found != zones_.end()) {
     for (const vm_id& vm : found->second) {
       const record& r = members_.at(vm);
-      const bool speaks = r.shown == member_state::kLive ||
-                          (r.heard && r.shown == member_state::kDraining);
-      if (!speaks) continue;
+      const bool can_relay =
+          r.reported_state == member_state::kLive ||
+          (r.reported && r.reported_state == member_state::kDraining);
+      if (!can_relay) continue;
       relay = vm;
       break;
     }
   }
-  const bool self_may = IsOwnZone(zone) && !options_.self.leaving;
-  if (self_may && (relay.IsEmpty() || options_.self.vm < relay)) {
+  const bool self_can_relay = IsLocalZone(zone) && !options_.self.leaving;
+  if (self_can_relay && (relay.IsEmpty() || options_.self.vm < relay)) {
     return options_.self.vm;
   }
   return relay;
@@ -271,16 +273,16 @@
 
 bool membership::IsRelay() const { return IsSelf(RelayOf(options_.self.zone)); }
 
-// With few VMs a heartbeat to each costs less than relays do, and a death is
-// seen without a detour. 24 VMs at one heartbeat a second and 130 bytes are
-// 3 KB/s, which the interval stretches to 1 KB/s.
+// With few VMs, all-to-all heartbeats cost less than relays and show a death
+// directly. 24 VMs at one heartbeat of 130 bytes a second take 3 KB/s, which
+// the longer interval reduces to 1 KB/s.
 bool membership::AllToAll() const {
   return members_.size() < options_.all_to_all_limit;
 }
 
-// A daemon may spend 2 KB/s on control. In a zone of 52 VMs a heartbeat to each
-// every second would take 6.6 KB/s by itself; with the interval stretched it is
-// 1 KB/s at 6.6 s, and the rest is left for digests, changes and renewals.
+// A daemon may spend 2 KB/s on control traffic. In a zone of 52 VMs a heartbeat
+// to each every second would take 6.6 KB/s; an interval of 6.6 s takes 1 KB/s,
+// and leaves the rest for digests, changes and renewals.
 duration membership::Interval() const {
   std::size_t receivers = members_.size();
   if (!AllToAll()) {
@@ -288,28 +290,29 @@
     receivers = own == zones_.end() ? 0 : own->second.size();
   }
   const double bytes =
-      static_cast<double>(receivers) * options_.heartbeat_bytes;
+      static_cast<double>(receivers) * options_.bytes_per_heartbeat;
   return std::max(options_.min_interval,
                   FromSeconds(bytes / options_.bytes_per_s));
 }
 
-// One lost heartbeat or a pause of a second is usual on small VMs. Four in a
-// row hardly are, and a caller that is sent to a dead VM meanwhile has others
-// in its answer.
-duration membership::SilentAfter(duration interval) const {
+// One lost heartbeat or a pause of a second is usual on small VMs; four missed
+// heartbeats in a row are rare. A caller that is sent to a dead VM until then
+// has other VMs in its answer.
+duration membership::SilenceLimit(duration interval) const {
   const duration bounded =
-      std::clamp(interval, options_.min_interval, kLongestInterval);
-  return bounded * options_.missed_limit;
+      std::clamp(interval, options_.min_interval, kMaxInterval);
+  return bounded * options_.missed_heartbeats_limit;
 }
 
-member_state membership::Judge(const record& r, monotonic_time now) const {
-  if (gone_.contains(r.info.vm)) return member_state::kGone;
+member_state membership::EvaluateState(const record& r,
+                                       monotonic_time now) const {
+  if (dead_vms_.contains(r.info.vm)) return member_state::kGone;
   if (r.info.leaving || r.listed_leaving) return member_state::kLeaving;
-  if (!r.heard) {
+  if (!r.reported) {
     return drained_.contains(r.info.vm) ? member_state::kDraining
                                         : member_state::kListed;
   }
-  const bool silent = r.heard_direct
+  const bool silent = r.reported_directly
                           ? now >= r.silent_at
                           : r.info.silent || ZoneIsSilent(r.info.zone, now);
   if (silent) return member_state::kSilent;
@@ -317,50 +320,51 @@
   return member_state::kLive;
 }
 
-bool membership::Refresh(record& r, bool changed, monotonic_time now,
-                         actions& out) {
-  const member_state state = Judge(r, now);
-  if (r.is_shown && state == r.shown && !changed) return false;
-  r.shown = state;
-  r.is_shown = true;
+bool membership::UpdateState(record& r, bool changed, monotonic_time now,
+                             actions& out) {
+  const member_state state = EvaluateState(r, now);
+  if (r.has_reported_state && state == r.reported_state && !changed)
+    return false;
+  r.reported_state = state;
+  r.has_reported_state = true;
   hashes_.erase(r.info.zone);
   out.emplace_back(member_changed{r.info, state});
   return true;
 }
 
-void membership::RefreshAll(monotonic_time now, actions& out) {
+void membership::UpdateAllStates(monotonic_time now, actions& out) {
   std::vector<vm_id> forgotten;
   for (auto& [vm, r] : members_) {
-    if (Refresh(r, false, now, out)) TellChange(r, out);
-    if (r.listed || r.shown == member_state::kLive) {
-      r.forget_at = now + kForgetAfter;
+    if (UpdateState(r, false, now, out)) SendChange(r, out);
+    if (r.listed || r.reported_state == member_state::kLive) {
+      r.remove_at = now + kRetention;
     }
-    if (now >= r.forget_at) forgotten.push_back(vm);
+    if (now >= r.remove_at) forgotten.push_back(vm);
   }
-  for (const vm_id& vm : forgotten) Forget(vm);
+  for (const vm_id& vm : forgotten) Remove(vm);
 }
 
-// Only a relay hears other zones. A new one gives each zone the time to speak
-// up before it takes the zone for cut off.
-void membership::RefreshContacts(monotonic_time now) {
+// Only a relay tracks its contact with other zones. A new relay allows each
+// zone time for a first digest before it counts the zone as cut off.
+void membership::UpdateContacts(monotonic_time now) {
   if (AllToAll() || !IsRelay()) {
-    contacts_.clear();
+    relay_contacts_.clear();
     return;
   }
   for (const auto& [zone, vms] : zones_) {
-    if (IsOwnZone(zone) || contacts_.contains(zone)) continue;
-    contacts_[zone].silent_at = now + SilentAfter(Interval());
+    if (IsLocalZone(zone) || relay_contacts_.contains(zone)) continue;
+    relay_contacts_[zone].silent_at = now + SilenceLimit(Interval());
   }
 }
 
-void membership::TellChange(const record& r, actions& out) {
-  if (AllToAll() || !r.heard || !IsRelay()) return;
-  zone_members news{r.info.zone, false, {r.info}};
-  news.members.front().silent = IsSilentNow(r.shown);
-  if (IsOwnZone(r.info.zone)) {
-    TellRelays(news, out);
+void membership::SendChange(const record& r, actions& out) {
+  if (AllToAll() || !r.reported || !IsRelay()) return;
+  zone_members update{r.info.zone, false, {r.info}};
+  update.members.front().silent = CountsAsSilent(r.reported_state);
+  if (IsLocalZone(r.info.zone)) {
+    SendToRelays(update, out);
   } else {
-    TellZone(news, out);
+    SendToLocalZone(update, out);
   }
 }
 
@@ -380,7 +384,7 @@
   return r;
 }
 
-void membership::Forget(const vm_id& vm) {
+void membership::Remove(const vm_id& vm) {
   const auto found = members_.find(vm);
   const zone_id zone = found->second.info.zone;
   zones_[zone].erase(vm);
@@ -389,40 +393,43 @@
   members_.erase(found);
 }
 
-bool membership::TakeInfo(const member_info& info, bool direct,
-                          monotonic_time now) {
+bool membership::UpdateInfo(const member_info& info, bool direct,
+                            monotonic_time now) {
   if (IsSelf(info.vm)) return false;
   record& r = Add(info);
-  const bool is_old = r.heard && info.incarnation < r.info.incarnation;
-  if (is_old) return false;
-  const bool same_process = r.heard && info.incarnation == r.info.incarnation;
-  member_info taken = info;
-  // A process that leaves doesn't come back; a late message that says it is
-  // live was sent before.
-  if (same_process && r.info.leaving) taken.leaving = true;
+  const bool is_stale = r.reported && info.incarnation < r.info.incarnation;
+  if (is_stale) return false;
+  const bool same_process =
+      r.reported && info.incarnation == r.info.incarnation;
+  member_info merged = info;
+  // A leaving process doesn't become live again; a late message without
+  // `leaving` was sent earlier.
+  if (same_process && r.info.leaving) merged.leaving = true;
   if (!same_process) r.sequence = 0;
-  const bool changed = !r.heard || taken != r.info || r.heard_direct != direct;
-  r.info = taken;
-  r.heard = true;
-  r.heard_direct = direct;
-  r.forget_at = now + kForgetAfter;
+  const bool changed =
+      !r.reported || merged != r.info || r.reported_directly != direct;
+  r.info = merged;
+  r.reported = true;
+  r.reported_directly = direct;
+  r.remove_at = now + kRetention;
   return changed;
 }
 
-// A complete list from a zone's relay takes out members that it forgot.
-void membership::DropAbsent(const zone_members& message) {
+// Removes the zone's members that a complete list from its relay lacks. Members
+// on the platform's list stay as listed.
+void membership::RemoveAbsent(const zone_members& message) {
   std::set<vm_id> present;
   for (const member_info& info : message.members) present.insert(info.vm);
   std::vector<vm_id> absent;
   for (const vm_id& vm : zones_[message.zone]) {
     const record& r = members_.at(vm);
-    if (r.heard && !present.contains(vm)) absent.push_back(vm);
+    if (r.reported && !present.contains(vm)) absent.push_back(vm);
   }
   for (const vm_id& vm : absent) {
     record& r = members_.at(vm);
-    r.heard = false;
+    r.reported = false;
     hashes_.erase(message.zone);
-    if (!r.listed) Forget(vm);
+    if (!r.listed) Remove(vm);
   }
 }
 
@@ -433,10 +440,10 @@
   message.revision = revision_;
   message.config_age = config_age_;
   message.interval = Interval();
-  if (!AllToAll()) message.world_hash = WorldHash();
+  if (!AllToAll()) message.world_hash = RemoteZonesHash();
   for (const auto& [vm, r] : members_) {
-    if (r.shown == member_state::kGone) continue;
-    if (!AllToAll() && !IsOwnZone(r.info.zone)) continue;
+    if (r.reported_state == member_state::kGone) continue;
+    if (!AllToAll() && !IsLocalZone(r.info.zone)) continue;
     out.emplace_back(send_heartbeat{vm, r.info.control, message});
   }
 }
@@ -448,68 +455,68 @@
   message.control = options_.self.control;
   message.incarnation = options_.self.incarnation;
   message.sequence = sequence_;
-  message.hash = HashOf(options_.self.zone, true);
+  message.hash = ZoneHash(options_.self.zone, true);
   message.revision = revision_;
   message.config_age = config_age_;
   message.interval = Interval();
   for (const auto& [zone, vms] : zones_) {
-    if (IsOwnZone(zone)) continue;
-    const member_info* to = Target(zone);
+    if (IsLocalZone(zone)) continue;
+    const member_info* to = ZoneReceiver(zone);
     if (to == nullptr) continue;
     out.emplace_back(send_zone_digest{to->vm, to->control, message});
   }
 }
 
-void membership::TellRelays(const zone_members& message, actions& out) {
+void membership::SendToRelays(const zone_members& message, actions& out) {
   for (const auto& [zone, vms] : zones_) {
-    if (IsOwnZone(zone)) continue;
-    const member_info* to = Target(zone);
+    if (IsLocalZone(zone)) continue;
+    const member_info* to = ZoneReceiver(zone);
     if (to == nullptr) continue;
     out.emplace_back(send_zone_members{to->vm, to->control, message});
   }
 }
 
-void membership::TellZone(const zone_members& message, actions& out) {
+void membership::SendToLocalZone(const zone_members& message, actions& out) {
   const auto own = zones_.find(options_.self.zone);
   if (own == zones_.end()) return;
   for (const vm_id& vm : own->second) {
     const record& r = members_.at(vm);
-    if (!r.heard || IsSilentNow(r.shown)) continue;
+    if (!r.reported || CountsAsSilent(r.reported_state)) continue;
     out.emplace_back(send_zone_members{vm, r.info.control, message});
   }
 }
 
-// Whom to send to in another zone: its relay as far as known. When two zones'
-// relays die at once, each zone's new relay would write to the other's dead one
-// for ever; so when nobody there is known to speak, the members are tried in
-// turn. Any of them passes on what it gets.
-const member_info* membership::Target(const zone_id& zone) const {
+// Returns the receiver of messages to another zone: its relay if one is known.
+// When the relays of two zones die at once, each zone's new relay would send to
+// the other's dead one for ever; so without a known relay the members are tried
+// in turn, and each of them forwards what it receives.
+const member_info* membership::ZoneReceiver(const zone_id& zone) const {
   const vm_id relay = RelayOf(zone);
   if (!relay.IsEmpty()) return &members_.at(relay).info;
   std::vector<const member_info*> candidates;
   for (const vm_id& vm : zones_.at(zone)) {
     const record& r = members_.at(vm);
-    if (r.shown != member_state::kGone) candidates.push_back(&r.info);
+    if (r.reported_state != member_state::kGone) candidates.push_back(&r.info);
   }
   if (candidates.empty()) return nullptr;
   return candidates[sequence_ % candidates.size()];
 }
 
 bool membership::ZoneIsSilent(const zone_id& zone, monotonic_time now) const {
-  const auto found = contacts_.find(zone);
-  return found != contacts_.end() && now >= found->second.silent_at;
+  const auto found = relay_contacts_.find(zone);
+  return found != relay_contacts_.end() && now >= found->second.silent_at;
 }
 
-zone_members membership::MembersOf(const zone_id& zone, bool judged) const {
+zone_members membership::MembersOf(const zone_id& zone, bool evaluated) const {
   zone_members all{zone, true, {}};
-  if (IsOwnZone(zone)) all.members.push_back(options_.self);
+  if (IsLocalZone(zone)) all.members.push_back(options_.self);
   const auto found = zones_.find(zone);
   if (found == zones_.end()) return all;
   for (const vm_id& vm : found->second) {
     const record& r = members_.at(vm);
-    if (!r.heard) continue;
+    if (!r.reported) continue;
     all.members.push_back(r.info);
-    if (judged) all.members.back().silent = IsSilentNow(r.shown);
+    if (evaluated) all.members.back().silent = CountsAsSilent(r.reported_state);
   }
   std::sort(
       all.members.begin(), all.members.end(),
@@ -517,12 +524,13 @@
   return all;
 }
 
-std::uint64_t membership::HashOf(const zone_id& zone, bool judged) const {
-  cached_hashes& cached = hashes_[zone];
-  std::optional<std::uint64_t>& hash = judged ? cached.judged : cached.told;
+std::uint64_t membership::ZoneHash(const zone_id& zone, bool evaluated) const {
+  zone_hash_cache& cached = hashes_[zone];
+  std::optional<std::uint64_t>& hash =
+      evaluated ? cached.evaluated : cached.received;
   if (!hash) {
     std::string text;
-    for (const member_info& m : MembersOf(zone, judged).members) {
+    for (const member_info& m : MembersOf(zone, evaluated).members) {
       text += HashText(m, m.silent);
     }
     hash = HashBytes(text);
@@ -530,30 +538,33 @@
   return *hash;
 }
 
-zone_hashes membership::ToldHashes() const {
+zone_hashes membership::ReceivedHashes() const {
   zone_hashes hashes;
   for (const auto& [zone, vms] : zones_) {
-    if (!IsOwnZone(zone)) hashes[zone] = HashOf(zone, false);
+    if (!IsLocalZone(zone)) hashes[zone] = ZoneHash(zone, false);
   }
   return hashes;
 }
 
-// A relay says what it judges; its fellows have that as told.
-std::uint64_t membership::WorldHash() const {
-  const bool judged = IsRelay();
+// A relay hashes the states that it evaluates; the other members of its zone
+// hash the states that they received from it.
+std::uint64_t membership::RemoteZonesHash() const {
+  const bool evaluated = IsRelay();
   std::uint64_t hash = 1;
   for (const auto& [zone, vms] : zones_) {
-    if (IsOwnZone(zone)) continue;
-    const auto heard = [&](const vm_id& vm) { return members_.at(vm).heard; };
-    if (std::none_of(vms.begin(), vms.end(), heard)) continue;
-    hash = HashBytes(zone.Str(), hash ^ HashOf(zone, judged));
+    if (IsLocalZone(zone)) continue;
+    const auto reported = [&](const vm_id& vm) {
+      return members_.at(vm).reported;
+    };
+    if (std::none_of(vms.begin(), vms.end(), reported)) continue;
+    hash = HashBytes(zone.Str(), hash ^ ZoneHash(zone, evaluated));
   }
   return hash == 0 ? 1 : hash;
 }
 
-zone_pull membership::MakePull() const {
+zone_pull membership::MakeZonePull() const {
   return {options_.self.vm, options_.self.zone, options_.self.control,
-          ToldHashes()};
+          ReceivedHashes()};
 }
 
 }  // namespace citron
--- a/tests/protocol/membership_test.cc
+++ b/tests/protocol/membership_test.cc
@@ -41,7 +41,8 @@
   return membership(options);
 }
 
-// Many VMs in one process; messages arrive in the next half second.
+// Simulates a fleet of VMs in steps of half a second. Messages of a step's
+// timers arrive in the same step, answers to them in the next.
 class fake_fleet {
  public:
   fake_fleet(int zones, int vms_per_zone) {
@@ -53,13 +54,13 @@
         list.push_back({info.vm, info.zone, info.region, {}, false});
       }
     }
-    for (auto& [vm, m] : vms_) Do(vm, m.OnPlatformList(list, At(time_)));
+    for (auto& [vm, m] : vms_) Execute(vm, m.OnPlatformList(list, At(time_)));
   }
 
   void Kill(const vm_id& vm) { vms_.erase(vm); }
   void Run(double seconds, int loss_percent = 0) {
     for (const double end = time_ + seconds; time_ < end; time_ += 0.5) {
-      for (auto& [vm, m] : vms_) Do(vm, m.OnTimer(At(time_)));
+      for (auto& [vm, m] : vms_) Execute(vm, m.OnTimer(At(time_)));
       for (std::size_t left = network_.size(); left > 0; --left) {
         const auto [to, a] = network_.front();
         network_.pop_front();
@@ -73,7 +74,7 @@
   std::map<vm_id, int> sent;
 
  private:
-  void Do(const vm_id& from, const membership::actions& list) {
+  void Execute(const vm_id& from, const membership::actions& list) {
     for (const membership::action& a : list) {
       std::visit(
           [&](const auto& sending) {
@@ -86,16 +87,16 @@
     }
   }
   void Deliver(const vm_id& to, membership& m,
-               const std::pair<vm_id, membership::action>& sent_by) {
-    const auto& [from, a] = sent_by;
+               const std::pair<vm_id, membership::action>& sender_and_action) {
+    const auto& [from, a] = sender_and_action;
     if (const auto* beat = std::get_if<send_heartbeat>(&a)) {
-      Do(to, m.OnHeartbeat(beat->message, At(time_)));
+      Execute(to, m.OnHeartbeat(beat->message, At(time_)));
     } else if (const auto* digest = std::get_if<send_zone_digest>(&a)) {
-      Do(to, m.OnZoneDigest(digest->message, At(time_)));
+      Execute(to, m.OnZoneDigest(digest->message, At(time_)));
     } else if (const auto* pull = std::get_if<send_zone_pull>(&a)) {
-      Do(to, m.OnZonePull(pull->message));
-    } else if (const auto* news = std::get_if<send_zone_members>(&a)) {
-      Do(to, m.OnZoneMembers(from, news->message, At(time_)));
+      Execute(to, m.OnZonePull(pull->message));
+    } else if (const auto* update = std::get_if<send_zone_members>(&a)) {
+      Execute(to, m.OnZoneMembers(from, update->message, At(time_)));
     }
   }
 
@@ -105,7 +106,8 @@
   pcg32 random_{7};
 };
 
-// Everybody sees `live` as live, and `silent` not.
+// Checks that every VM of the fleet sees the others as live, and none of
+// `silent` as live.
 void CheckAllSee(fake_fleet& fleet, const std::set<vm_id>& silent) {
   for (auto& [vm, m] : fleet.Vms()) {
     for (const auto& [other, unused] : fleet.Vms()) {
@@ -122,8 +124,8 @@
 
 }  // namespace
 
-// A VM was restarted, and a heartbeat that its old process sent arrives after
-// the new one's. Taking it would send callers to the old process's ports.
+// After a restart of a VM, a heartbeat of its old process arrives after the new
+// process's. Accepting it would send callers to the old process's ports.
 BOOST_AUTO_TEST_CASE(LateHeartbeatOfOldProcessIsDropped) {
   membership m = MakeMembership(Vm(1, 1));
   member_info old = Vm(1, 2, 5);
@@ -136,8 +138,8 @@
   BOOST_TEST(m.OnHeartbeat(Beat(renewed, 1), At(2)).empty());
 }
 
-// A VM stops gracefully; a heartbeat from before that comes in late. Callers
-// must not be sent to it any more, from the first word on.
+// A VM leaves gracefully, and an earlier heartbeat arrives late. From the first
+// report of leaving on, callers must not be sent to the VM.
 BOOST_AUTO_TEST_CASE(LeavingVmIsOutAtOnceAndForGood) {
   membership m = MakeMembership(Vm(1, 1));
   member_info other = Vm(1, 2);
@@ -151,9 +153,9 @@
   BOOST_TEST((m.StateOf(other.vm) == member_state::kLeaving));
 }
 
-// A VM hangs for some seconds. Three lost heartbeats change nothing; after the
-// fourth, callers are sent elsewhere until it speaks again.
-BOOST_AUTO_TEST_CASE(SilentVmLeavesLookUpsUntilItSpeaks) {
+// A VM hangs for some seconds. Three missed heartbeats change nothing; after
+// the fourth, callers are sent elsewhere until the VM reports again.
+BOOST_AUTO_TEST_CASE(SilentVmLeavesLookUpsUntilItReports) {
   membership m = MakeMembership(Vm(1, 1));
   const member_info other = Vm(1, 2);
   m.OnHeartbeat(Beat(other, 1), At(0));
@@ -165,8 +167,8 @@
   BOOST_TEST((m.StateOf(other.vm) == member_state::kLive));
 }
 
-// Operators' words go before what is heard.
-BOOST_AUTO_TEST_CASE(OperatorsWordsAreObeyed) {
+// Operators' settings take precedence over heartbeats.
+BOOST_AUTO_TEST_CASE(OperatorSettingsTakePrecedence) {
   membership m = MakeMembership(Vm(1, 1));
   const member_info other = Vm(1, 2);
   m.OnHeartbeat(Beat(other, 1), At(0));
@@ -177,9 +179,9 @@
   BOOST_TEST(m.Usable().size() == 1u);
 }
 
-// The platform's list names a VM whose heartbeats can't be heard yet; callers
-// may be sent there. One that the list calls leaving is out.
-BOOST_AUTO_TEST_CASE(ListedVmsAreUsableBeforeTheyAreHeard) {
+// Callers may be sent to a VM on the platform's list before its first heartbeat
+// arrives, but not to a VM that the list marks as leaving.
+BOOST_AUTO_TEST_CASE(ListedVmsAreUsableBeforeFirstHeartbeat) {
   membership m = MakeMembership(Vm(1, 1));
   const member_info a = Vm(1, 2);
   const member_info b = Vm(1, 3);
@@ -190,8 +192,8 @@
   BOOST_TEST((m.StateOf(b.vm) == member_state::kLeaving));
 }
 
-// What a daemon sends each interval grows with its zone and the number of
-// zones, not with the fleet.
+// The number of messages of a daemon per interval must grow with its zone and
+// the number of zones, not with the fleet.
 BOOST_AUTO_TEST_CASE(MessagesGrowWithZoneAndZonesOnly) {
   struct size {
     int zones;
@@ -209,7 +211,7 @@
     const int all_to_all = s.zones * s.vms - 1;
     const int relayed = s.vms - 1 + s.zones - 1;
     const int expected = all_to_all < 24 ? all_to_all : relayed;
-    // The fake's clock moves in half seconds.
+    // The simulated clock moves in steps of half a second.
     const double effective = std::ceil(interval / 0.5) * 0.5;
     const double rounds = 100 * interval / effective;
     BOOST_TEST(most <= (rounds + 1) * expected);
@@ -217,9 +219,9 @@
   }
 }
 
-// A rack goes and takes the relays of all zones with it. Each zone's new relay
-// knows only dead ones of the others; they must find each other all the same,
-// and callers must not be sent to the dead.
+// The relays of all zones fail at once, as in the loss of a rack. Each zone's
+// new relay knows only dead relays of the other zones; the new relays must find
+// each other, and callers must not be sent to the dead VMs.
 BOOST_AUTO_TEST_CASE(AllRelaysDieAtOnce) {
   fake_fleet fleet(6, 6);
   fleet.Run(60);
@@ -230,8 +232,8 @@
   CheckAllSee(fleet, dead);
 }
 
-// A fifth of all messages is lost for minutes. Once they arrive again, all
-// must agree, although most news are told only once.
+// A fifth of all messages is lost for minutes. Once messages arrive again, all
+// VMs must agree, although most changes are sent only once.
 BOOST_AUTO_TEST_CASE(LostMessagesAreMadeUpFor) {
   fake_fleet fleet(5, 7);
   fleet.Run(100, 20);
@@ -241,7 +243,8 @@
   CheckAllSee(fleet, {Vm(3, 4).vm});
 }
 
-// Every VM of a zone is cut off. The others must hear of it, and of its return.
+// All VMs of a zone are lost at once, as when the zone is cut off. The other
+// zones must count them as silent.
 BOOST_AUTO_TEST_CASE(CutOffZoneIsSilent) {
   fake_fleet fleet(6, 6);
   fleet.Run(60);
