--- a/include/citron/protocol/entry_ref.h
+++ b/include/citron/protocol/entry_ref.h
@@ -8,8 +8,8 @@
 
 namespace citron {
 
-// One event loop of an entry process. A restarted process has another
-// incarnation; messages to or from an earlier one mean nothing to it.
+// Identifies one event loop of an entry process. A restarted process has
+// another incarnation and ignores messages to or from an earlier one.
 struct entry_ref {
   vm_id vm;
   int loop = 0;
--- a/include/citron/protocol/incarnation.h
+++ b/include/citron/protocol/incarnation.h
@@ -5,8 +5,8 @@
 
 namespace citron {
 
-// Tells one process of a VM from the ones before it; a later process of the
-// same VM has a higher number (nanoseconds of the wall clock at its start).
+// Identifies a process of a VM among its successive processes. A later process
+// of the same VM has a higher number: its start time in wall-clock nanoseconds.
 using incarnation_number = std::uint64_t;
 
 }  // namespace citron
--- a/include/citron/protocol/ownership_table.h
+++ b/include/citron/protocol/ownership_table.h
@@ -13,14 +13,14 @@
 
 namespace citron {
 
-// One dispatch of the zone. Only that process changes its own row; the others
-// may only take it out.
+// A dispatch process of the zone. Only that process changes its row; other
+// members may only remove the row.
 struct ownership_member {
   incarnation_number incarnation = 0;
-  endpoint address;           // Bound by the process before it joined.
-  std::uint64_t counter = 0;  // Grows with every write of that process.
-  std::uint64_t joined = 0;   // The table's epoch at its joining.
-  std::uint64_t seen = 0;     // The table's epoch at its last write.
+  endpoint address;           // Bound before the process joined.
+  std::uint64_t counter = 0;  // Increases with each of its writes.
+  std::uint64_t joined = 0;   // Table epoch when it joined.
+  std::uint64_t seen = 0;     // Table epoch at its last write.
   bool leaving = false;
 
   friend bool operator==(const ownership_member&,
@@ -29,8 +29,8 @@
 
 struct ownership_assignment {
   vm_id owner;
-  // The owner before, when it still has requests in flight there; the new
-  // owner leaves so many slots alone.
+  // The previous owner, while it still has requests in flight at the upstream.
+  // The new owner doesn't use `draining_count` slots.
   vm_id draining_at;
   int draining_count = 0;
 
@@ -38,16 +38,18 @@
                          const ownership_assignment&) = default;
 };
 
-// Who owns the upstreams of one zone: the value of `owners/<zone>`.
+// The owners of one zone's upstreams: the value of the key `owners/<zone>`.
 struct ownership_table {
-  std::uint64_t epoch = 0;  // Grows with every joining.
+  std::uint64_t epoch = 0;  // Increases with each join.
   std::map<vm_id, ownership_member> members;
   std::map<upstream_id, ownership_assignment> assignments;
 
-  // `by` knew that `other` is a member when it last wrote: it won't go on
-  // without the other's promise.
+  // Returns whether `by` knew at its last write that `other` is a member. If
+  // so, `by` can't extend its ownership without the store unless `other`
+  // promises.
   bool Acknowledged(const vm_id& by, const vm_id& other) const;
-  // No other member has been acknowledged by this one: it may go on by itself.
+  // Returns whether `vm` is a member and has acknowledged no other member: it
+  // may go on without promises.
   bool IsSole(const vm_id& vm) const;
 
   friend bool operator==(const ownership_table&,
@@ -56,8 +58,8 @@
 
 std::string WriteOwnershipTable(const ownership_table& table);
 
-// Strict: an unknown or missing field, an assignment to no member, or an epoch
-// out of order is an error.
+// Parses strictly: an unknown field, a missing required one, an assignment to a
+// VM that is not a member, or an epoch out of order is an error.
 result<ownership_table> ParseOwnershipTable(std::string_view json);
 
 }  // namespace citron
--- a/include/citron/protocol/vm_registration.h
+++ b/include/citron/protocol/vm_registration.h
@@ -10,42 +10,42 @@
 namespace citron {
 
 struct registration_options {
-  // A dead VM stays listed for as long. Callers who are sent to it lose a
-  // second each; a shorter one lapses whenever the store is slow.
+  // A dead VM stays listed this long, and each caller that is sent to it loses
+  // a second; a shorter lease expires whenever the store is slow.
   duration lease_ttl = FromMilliseconds(2500);
   duration renew_interval = FromMilliseconds(800);
   duration retry_interval = FromMilliseconds(300);
 };
 
-// Keeps this VM listed in the store by a lease: says which call comes next.
+// Keeps this VM listed in the store by a lease: decides the next store call.
 class vm_registration {
  public:
   enum class call { kGrant, kWrite, kRenew };
 
   explicit vm_registration(const registration_options& options);
 
-  // The call to make now, if any; it counts as sent.
+  // Returns the store call that is due, if any, and marks it as pending.
   std::optional<call> Next(monotonic_time now);
-  monotonic_time NextAt() const { return next_at_; }
+  monotonic_time NextAt() const { return next_call_at_; }
 
   void OnGranted(const lease_id& lease, monotonic_time now);
   void OnWritten(monotonic_time now);
   void OnRenewed(monotonic_time now);
-  // The lease has ended, and the record with it.
+  // The lease has expired, and the store has removed the record with it.
   void OnLapsed(monotonic_time now);
-  // No answer, or none that says what happened.
+  // The call failed or its outcome is unknown.
   void OnFailed(monotonic_time now);
 
   const std::optional<lease_id>& Lease() const { return lease_; }
 
  private:
-  void WaitUntil(monotonic_time at);
+  void ScheduleNext(monotonic_time at);
 
   registration_options options_;
   std::optional<lease_id> lease_;
-  bool written_ = false;
-  bool under_way_ = false;
-  monotonic_time next_at_{};
+  bool record_written_ = false;
+  bool call_pending_ = false;
+  monotonic_time next_call_at_{};
 };
 
 }  // namespace citron
--- a/src/protocol/ownership_table.cc
+++ b/src/protocol/ownership_table.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::int64_t kMaxNumber = std::numeric_limits<std::int64_t>::max();
-constexpr int kMaxCount = 1000000;
+constexpr int kMaxDrainingCount = 1000000;
 
 std::uint64_t ReadNumber(json_reader& reader, const char* name) {
   std::int64_t value = 0;
@@ -38,32 +38,34 @@
   std::string draining;
   reader.String("owner", owner, true);
   reader.String("draining_at", draining);
-  reader.Int("draining_count", assignment.draining_count, 0, kMaxCount);
+  reader.Int("draining_count", assignment.draining_count, 0, kMaxDrainingCount);
   assignment.owner = vm_id(owner);
   assignment.draining_at = vm_id(draining);
   return assignment;
 }
 
-// What the fields can't say one by one. A table that breaks it was not written
-// by these rules, and taking over by it could give an upstream two owners.
+// Checks the rules that span several fields. A table that breaks them was not
+// written by a member, and acting on it could give an upstream two owners.
 status CheckTable(const ownership_table& table) {
-  const auto problem = [](std::string text) {
+  const auto invalid = [](std::string text) {
     return MakeError(error_code::kInvalid, std::move(text));
   };
   for (const auto& [vm, row] : table.members) {
-    if (vm.IsEmpty()) return problem("members: empty name");
+    if (vm.IsEmpty()) return invalid("members: empty VM name");
     const bool in_order = row.joined <= row.seen && row.seen <= table.epoch;
     if (!in_order) {
-      return problem(fmt::format("members.{}: epochs out of order", vm.Str()));
+      return invalid(fmt::format(
+          "members.{}: joined, seen and epoch out of order", vm.Str()));
     }
   }
   for (const auto& [upstream, entry] : table.assignments) {
-    const bool known = table.members.contains(entry.owner) &&
-                       (entry.draining_at.IsEmpty() ||
-                        table.members.contains(entry.draining_at));
-    if (upstream.IsEmpty() || !known) {
-      return problem(
-          fmt::format("assignments.{}: not a member", upstream.Str()));
+    const bool are_members = table.members.contains(entry.owner) &&
+                             (entry.draining_at.IsEmpty() ||
+                              table.members.contains(entry.draining_at));
+    if (upstream.IsEmpty() || !are_members) {
+      return invalid(fmt::format(
+          "assignments.{}: empty name, or owner or draining_at is not a member",
+          upstream.Str()));
     }
   }
   return std::monostate{};
@@ -72,10 +74,10 @@
 }  // namespace
 
 bool ownership_table::Acknowledged(const vm_id& by, const vm_id& other) const {
-  const auto holder = members.find(by);
-  const auto observer = members.find(other);
-  if (holder == members.end() || observer == members.end()) return false;
-  return holder->second.seen >= observer->second.joined;
+  const auto by_row = members.find(by);
+  const auto other_row = members.find(other);
+  if (by_row == members.end() || other_row == members.end()) return false;
+  return by_row->second.seen >= other_row->second.joined;
 }
 
 bool ownership_table::IsSole(const vm_id& vm) const {
--- a/tests/protocol/vm_registration_test.cc
+++ b/tests/protocol/vm_registration_test.cc
@@ -33,9 +33,10 @@
   BOOST_CHECK(!registration_.Next(now_ + milliseconds(799)));
 }
 
-// The lease lapses while the VM is frozen or the store is away. Renewing it for
-// ever would leave the VM unlisted, and no caller would be sent to it.
-BOOST_AUTO_TEST_CASE(ALapsedLeaseIsTakenAnewWithItsRecord) {
+// The lease expires while the VM is frozen or the store is unreachable.
+// Renewing the expired lease for ever would leave the VM unlisted and without
+// callers.
+BOOST_AUTO_TEST_CASE(ExpiredLeaseIsGrantedAgainWithItsRecord) {
   Register();
   now_ += milliseconds(800);
   BOOST_REQUIRE(registration_.Next(now_));
@@ -43,9 +44,9 @@
   Register();
 }
 
-// The answer to the write is lost. Whether it took effect is unknown, and
-// writing it again does no harm.
-BOOST_AUTO_TEST_CASE(AWriteWithoutAnAnswerIsRepeated) {
+// The answer to the write is lost, so its outcome is unknown. The record must
+// be written again, which is harmless if the first write took effect.
+BOOST_AUTO_TEST_CASE(WriteWithoutAnswerIsRepeated) {
   BOOST_REQUIRE(registration_.Next(now_));
   registration_.OnGranted(lease_id("7"), now_);
   BOOST_REQUIRE(registration_.Next(now_));
