--- a/include/citron/protocol/membership.h
+++ b/include/citron/protocol/membership.h
@@ -198,8 +198,9 @@
     bool reported_directly = false;  // The last report was its heartbeat.
     monotonic_time silent_at;  // Silent from then on if it reports directly.
     monotonic_time remove_at;
-    member_state reported_state = member_state::kListed;
-    bool has_reported_state = false;
+    // State in the last member_changed action.
+    member_state emitted_state = member_state::kListed;
+    bool has_emitted_state = false;
   };
   // Last contact with a remote zone's relay; kept only by a relay.
   struct relay_contact {
--- a/include/citron/protocol/ownership.h
+++ b/include/citron/protocol/ownership.h
@@ -38,11 +38,12 @@
   // Longest wait of a hand-over for requests in flight; after it, the table
   // records their count.
   duration handover_drain_limit = FromSeconds(2);
-  // Most dispatches of a zone that share its upstreams; the others stand by.
+  // Largest number of dispatches of a zone that share its upstreams; further
+  // dispatches stand by.
   std::size_t max_members = 4;
 };
 
-// Requests that the receiver doesn't take over from the sender.
+// Asks the receiver not to take over from the sender.
 struct promise_ask {
   vm_id from;
   incarnation_number from_incarnation = 0;
@@ -51,7 +52,8 @@
   std::uint64_t number = 0;
 };
 
-// Promises that the sender doesn't take over before ttl and margin have passed.
+// The sender promises not to take over from the receiver before ttl and margin
+// have passed.
 // With `predecessor_gone`: the process addressed by the request has ended, and
 // the sender has its address.
 struct promise {
@@ -185,7 +187,7 @@
   void ResolvePendingWrites();
   void RecordWrite(const pending_write& written);
   void ObserveRows(monotonic_time now);
-  void UpdateTakeoverBounds();
+  void UpdateBounds();
   void AfterFailure(monotonic_time now);
 
   void PlanWrite(monotonic_time now, actions& out);
@@ -224,14 +226,16 @@
   std::optional<monotonic_time> last_written_;
   // For each member that may take over from this one: the time before which it
   // can't.
-  std::map<member_key, monotonic_time> takeover_bounds_;
+  std::map<member_key, monotonic_time> bounds_;
   // Members that this process has promised not to take over from, and until
   // when.
   std::map<member_key, monotonic_time> promised_until_;
   std::map<vm_id, row_observation> row_observations_;
-  std::map<std::uint64_t, monotonic_time> promise_requests_;
-  std::uint64_t last_promise_request_ = 0;
-  monotonic_time next_promise_request_at_ = monotonic_time::min();
+  // Send times of the latest promise requests, by number.
+  std::map<std::uint64_t, monotonic_time> requests_;
+  std::uint64_t last_request_ = 0;
+  // Earliest time of the next promise requests.
+  monotonic_time next_request_at_ = monotonic_time::min();
   monotonic_time next_store_at_ = monotonic_time::min();
   int store_failures_ = 0;
   std::size_t route_ = 0;  // 0: this VM's control; otherwise another member's.
@@ -244,7 +248,7 @@
   std::map<upstream_id, monotonic_time> handovers_;
   std::set<vm_id> dead_vms_;
   bool leaving_ = false;
-  bool has_left_ = false;
+  bool left_ = false;
   std::set<upstream_id> reported_owned_;
   std::uint64_t malformed_tables_ = 0;
 };
--- a/src/protocol/membership.cc
+++ b/src/protocol/membership.cc
@@ -53,19 +53,19 @@
     const std::vector<listed_vm>& list, monotonic_time now) {
   actions out;
   for (auto& [vm, r] : members_) r.listed = false;
-  for (const listed_vm& line : list) {
-    if (IsSelf(line.vm)) continue;
+  for (const listed_vm& listing : list) {
+    if (IsSelf(listing.vm)) continue;
     member_info info;
-    info.vm = line.vm;
-    info.zone = line.zone;
-    info.region = line.region;
-    info.control = line.control;
+    info.vm = listing.vm;
+    info.zone = listing.zone;
+    info.region = listing.region;
+    info.control = listing.control;
     record& r = Add(info);
     r.listed = true;
-    r.listed_leaving = line.leaving;
+    r.listed_leaving = listing.leaving;
     r.remove_at = now + kRetention;
     // The VM's own report is newer than the lagging list.
-    if (!r.reported) r.info.control = line.control;
+    if (!r.reported) r.info.control = listing.control;
   }
   UpdateAllStates(now, out);
   return out;
@@ -230,7 +230,7 @@
 std::optional<member_state> membership::StateOf(const vm_id& vm) const {
   const auto found = members_.find(vm);
   if (found == members_.end()) return std::nullopt;
-  return found->second.reported_state;
+  return found->second.emitted_state;
 }
 
 const member_info* membership::Find(const vm_id& vm) const {
@@ -242,7 +242,7 @@
 std::vector<member_info> membership::Usable() const {
   std::vector<member_info> usable;
   for (const auto& [vm, r] : members_) {
-    if (IsUsable(r.reported_state)) usable.push_back(r.info);
+    if (IsUsable(r.emitted_state)) usable.push_back(r.info);
   }
   if (!options_.self.leaving && !drained_.contains(options_.self.vm)) {
     usable.push_back(options_.self);
@@ -257,8 +257,8 @@
     for (const vm_id& vm : found->second) {
       const record& r = members_.at(vm);
       const bool can_relay =
-          r.reported_state == member_state::kLive ||
-          (r.reported && r.reported_state == member_state::kDraining);
+          r.emitted_state == member_state::kLive ||
+          (r.reported && r.emitted_state == member_state::kDraining);
       if (!can_relay) continue;
       relay = vm;
       break;
@@ -286,8 +286,8 @@
 duration membership::Interval() const {
   std::size_t receivers = members_.size();
   if (!AllToAll()) {
-    const auto own = zones_.find(options_.self.zone);
-    receivers = own == zones_.end() ? 0 : own->second.size();
+    const auto local_zone = zones_.find(options_.self.zone);
+    receivers = local_zone == zones_.end() ? 0 : local_zone->second.size();
   }
   const double bytes =
       static_cast<double>(receivers) * options_.bytes_per_heartbeat;
@@ -323,25 +323,24 @@
 bool membership::UpdateState(record& r, bool changed, monotonic_time now,
                              actions& out) {
   const member_state state = EvaluateState(r, now);
-  if (r.has_reported_state && state == r.reported_state && !changed)
-    return false;
-  r.reported_state = state;
-  r.has_reported_state = true;
+  if (r.has_emitted_state && state == r.emitted_state && !changed) return false;
+  r.emitted_state = state;
+  r.has_emitted_state = true;
   hashes_.erase(r.info.zone);
   out.emplace_back(member_changed{r.info, state});
   return true;
 }
 
 void membership::UpdateAllStates(monotonic_time now, actions& out) {
-  std::vector<vm_id> forgotten;
+  std::vector<vm_id> expired;
   for (auto& [vm, r] : members_) {
     if (UpdateState(r, false, now, out)) SendChange(r, out);
-    if (r.listed || r.reported_state == member_state::kLive) {
+    if (r.listed || r.emitted_state == member_state::kLive) {
       r.remove_at = now + kRetention;
     }
-    if (now >= r.remove_at) forgotten.push_back(vm);
+    if (now >= r.remove_at) expired.push_back(vm);
   }
-  for (const vm_id& vm : forgotten) Remove(vm);
+  for (const vm_id& vm : expired) Remove(vm);
 }
 
 // Only a relay tracks its contact with other zones. A new relay allows each
@@ -360,7 +359,7 @@
 void membership::SendChange(const record& r, actions& out) {
   if (AllToAll() || !r.reported || !IsRelay()) return;
   zone_members update{r.info.zone, false, {r.info}};
-  update.members.front().silent = CountsAsSilent(r.reported_state);
+  update.members.front().silent = CountsAsSilent(r.emitted_state);
   if (IsLocalZone(r.info.zone)) {
     SendToRelays(update, out);
   } else {
@@ -442,7 +441,7 @@
   message.interval = Interval();
   if (!AllToAll()) message.world_hash = RemoteZonesHash();
   for (const auto& [vm, r] : members_) {
-    if (r.reported_state == member_state::kGone) continue;
+    if (r.emitted_state == member_state::kGone) continue;
     if (!AllToAll() && !IsLocalZone(r.info.zone)) continue;
     out.emplace_back(send_heartbeat{vm, r.info.control, message});
   }
@@ -477,11 +476,11 @@
 }
 
 void membership::SendToLocalZone(const zone_members& message, actions& out) {
-  const auto own = zones_.find(options_.self.zone);
-  if (own == zones_.end()) return;
-  for (const vm_id& vm : own->second) {
+  const auto local_zone = zones_.find(options_.self.zone);
+  if (local_zone == zones_.end()) return;
+  for (const vm_id& vm : local_zone->second) {
     const record& r = members_.at(vm);
-    if (!r.reported || CountsAsSilent(r.reported_state)) continue;
+    if (!r.reported || CountsAsSilent(r.emitted_state)) continue;
     out.emplace_back(send_zone_members{vm, r.info.control, message});
   }
 }
@@ -496,7 +495,7 @@
   std::vector<const member_info*> candidates;
   for (const vm_id& vm : zones_.at(zone)) {
     const record& r = members_.at(vm);
-    if (r.reported_state != member_state::kGone) candidates.push_back(&r.info);
+    if (r.emitted_state != member_state::kGone) candidates.push_back(&r.info);
   }
   if (candidates.empty()) return nullptr;
   return candidates[sequence_ % candidates.size()];
@@ -516,7 +515,7 @@
     const record& r = members_.at(vm);
     if (!r.reported) continue;
     all.members.push_back(r.info);
-    if (evaluated) all.members.back().silent = CountsAsSilent(r.reported_state);
+    if (evaluated) all.members.back().silent = CountsAsSilent(r.emitted_state);
   }
   std::sort(
       all.members.begin(), all.members.end(),
--- a/src/protocol/ownership.cc
+++ b/src/protocol/ownership.cc
@@ -9,11 +9,11 @@
 // Why ownership is exclusive.
 //
 // An owner is a process that has a row in the table and to which the table
-// assigns the upstream. Only the owner changes its assignment, or a member that
-// removes the owner's row ("takes over"). So no member may take over while the
-// owner may still send. For each member that could take over, the owner keeps a
-// bound, a time by the owner's clock before which that member can't, and the
-// owner stops sending at the earliest bound:
+// assigns the upstream. An assignment is changed only by its owner, or by a
+// member that removes the owner's row ("takes over"). So no member may take
+// over while the owner may still send. For each member that could take over,
+// the owner keeps a bound, a time by the owner's clock before which that member
+// can't, and the owner stops sending at the earliest bound:
 //  - after a write that took effect, ttl from the request of the write: a
 //    member takes over only after the counter of that write has stood still for
 //    ttl and margin, and the member can't have read it before the request;
@@ -41,7 +41,7 @@
 using ownership_action::write_table;
 
 // Promises for older requests are of no use: their ttl has passed.
-constexpr std::size_t kMaxPromiseRequests = 8;
+constexpr std::size_t kMaxOpenRequests = 8;
 // Keeps the members from calling a store that comes back all at once, and from
 // calling a store that is down for an hour every second.
 constexpr int kMaxBackoff = 5;
@@ -89,7 +89,7 @@
     call_.reset();
     AfterFailure(now);
   }
-  if (!call_ && !has_left_ && now >= next_store_at_) StartStoreCall(now, out);
+  if (!call_ && !left_ && now >= next_store_at_) StartStoreCall(now, out);
   RequestPromises(now, out);
   EmitChangeAndTimer(now, out);
   return out;
@@ -157,7 +157,7 @@
   if (!CompletesCall(call)) return out;
   std::erase_if(pending_writes_,
                 [&](const pending_write& a) { return a.call == call; });
-  UpdateTakeoverBounds();
+  UpdateBounds();
   AfterFailure(now);
   RequestPromises(now, out);
   EmitChangeAndTimer(now, out);
@@ -180,7 +180,7 @@
     answer.predecessor_gone = true;
     return {send_promise{message.from, answer}};
   }
-  if (!has_table_ || has_left_) return {};
+  if (!has_table_ || left_) return {};
   // A sender that was taken over gets no promise, or it would go on sending
   // beside its successor. A sender that joined after this table was read is not
   // known here yet.
@@ -206,14 +206,13 @@
 ownership::actions ownership::OnPromise(const promise& message,
                                         monotonic_time now) {
   actions out;
-  const auto ask = promise_requests_.find(message.number);
-  if (ask == promise_requests_.end()) return out;
+  const auto request = requests_.find(message.number);
+  if (request == requests_.end()) return out;
   if (message.to_incarnation != options_.incarnation) return out;
-  const auto bound =
-      takeover_bounds_.find({message.from, message.from_incarnation});
-  if (bound == takeover_bounds_.end()) return out;
+  const auto bound = bounds_.find({message.from, message.from_incarnation});
+  if (bound == bounds_.end()) return out;
   if (!message.predecessor_gone) {
-    bound->second = std::max(bound->second, ask->second + options_.ttl);
+    bound->second = std::max(bound->second, request->second + options_.ttl);
     EmitChangeAndTimer(now, out);
     return out;
   }
@@ -297,12 +296,11 @@
 }
 
 monotonic_time ownership::Until() const {
-  const bool may_own = IsMember() && last_written_ && !has_left_ &&
-                       !dead_vms_.contains(options_.vm);
+  const bool may_own =
+      IsMember() && last_written_ && !left_ && !dead_vms_.contains(options_.vm);
   if (!may_own) return monotonic_time::min();
   monotonic_time until = *last_written_ + options_.horizon;
-  for (const auto& [member, bound] : takeover_bounds_)
-    until = std::min(until, bound);
+  for (const auto& [member, bound] : bounds_) until = std::min(until, bound);
   return until;
 }
 
@@ -361,7 +359,7 @@
   has_table_ = true;
   ResolvePendingWrites();
   ObserveRows(now);
-  UpdateTakeoverBounds();
+  UpdateBounds();
   std::erase_if(handovers_, [&](const auto& item) {
     return !IsAssignedToThisVm(table_, item.first);
   });
@@ -391,7 +389,7 @@
                            written.requested_at);
   for (const auto& [vm, row] : written.table.members) {
     if (vm == options_.vm) continue;
-    monotonic_time& bound = takeover_bounds_[{vm, row.incarnation}];
+    monotonic_time& bound = bounds_[{vm, row.incarnation}];
     bound = std::max(bound, written.requested_at + options_.ttl);
   }
 }
@@ -411,9 +409,9 @@
 
 // While a write is pending, the members that it acknowledges may have seen it
 // already, so no bound is removed.
-void ownership::UpdateTakeoverBounds() {
+void ownership::UpdateBounds() {
   if (!pending_writes_.empty()) return;
-  std::erase_if(takeover_bounds_, [&](const auto& item) {
+  std::erase_if(bounds_, [&](const auto& item) {
     const auto& [vm, incarnation] = item.first;
     const auto row = table_.members.find(vm);
     return !IsMember() || row == table_.members.end() ||
@@ -423,7 +421,7 @@
   if (!IsMember()) return;
   for (const auto& [vm, row] : table_.members) {
     if (vm == options_.vm || !table_.Acknowledged(options_.vm, vm)) continue;
-    takeover_bounds_.try_emplace({vm, row.incarnation}, monotonic_time::min());
+    bounds_.try_emplace({vm, row.incarnation}, monotonic_time::min());
   }
 }
 
@@ -436,9 +434,9 @@
 }
 
 void ownership::PlanWrite(monotonic_time now, actions& out) {
-  // A VM that an operator declared dead stops writing, also if it is this VM:
-  // the other members take over at once.
-  if (has_left_ || dead_vms_.contains(options_.vm)) return;
+  // If an operator has declared this VM dead, it stops writing: the other
+  // members take over at once.
+  if (left_ || dead_vms_.contains(options_.vm)) return;
   ownership_table next = table_;
   if (!IsMember()) {
     if (leaving_) {
@@ -464,8 +462,8 @@
 }
 
 void ownership::FinishLeaving(actions& out) {
-  if (has_left_) return;
-  has_left_ = true;
+  if (left_) return;
+  left_ = true;
   out.emplace_back(left{});
 }
 
@@ -639,7 +637,7 @@
   // horizon.
   for (const auto& [vm, row] : next.members) {
     if (vm == options_.vm || !IsMember()) continue;
-    takeover_bounds_.try_emplace({vm, row.incarnation}, now + options_.ttl);
+    bounds_.try_emplace({vm, row.incarnation}, now + options_.ttl);
   }
   call_ = store_call{++last_call_, now};
   out.emplace_back(write_table{last_call_, Route(false, now),
@@ -652,26 +650,23 @@
 // A member that doesn't answer may be cut off from this process but not from
 // the store.
 void ownership::RequestPromises(monotonic_time now, actions& out) {
-  if (takeover_bounds_.empty() || has_left_ || !IsMember() ||
-      now < next_promise_request_at_)
-    return;
+  if (bounds_.empty() || left_ || !IsMember() || now < next_request_at_) return;
   const bool renewed =
       last_written_ && now < *last_written_ + options_.renew_interval * 3 / 2;
   if (renewed) return;
   // Past the horizon a promise doesn't extend ownership, and would only keep
   // the other members from taking over.
   if (!last_written_ || now >= *last_written_ + options_.horizon) return;
-  next_promise_request_at_ = now + options_.renew_interval / 2;
-  promise_requests_[++last_promise_request_] = now;
-  if (promise_requests_.size() > kMaxPromiseRequests)
-    promise_requests_.erase(promise_requests_.begin());
-  for (const auto& [member, bound] : takeover_bounds_) {
+  next_request_at_ = now + options_.renew_interval / 2;
+  requests_[++last_request_] = now;
+  if (requests_.size() > kMaxOpenRequests) requests_.erase(requests_.begin());
+  for (const auto& [member, bound] : bounds_) {
     promise_ask message;
     message.from = options_.vm;
     message.from_incarnation = options_.incarnation;
     message.to_incarnation = member.second;
     message.joined = table_.members.at(options_.vm).joined;
-    message.number = last_promise_request_;
+    message.number = last_request_;
     out.emplace_back(send_promise_ask{member.first, message});
   }
 }
@@ -699,18 +694,18 @@
     reported_owned_ = owned;
     out.emplace_back(ownership_changed{std::move(owned), until});
   }
-  if (has_left_) return;
+  if (left_) return;
   monotonic_time at = now + options_.renew_interval;
-  const auto sooner = [&](monotonic_time t) {
+  const auto arm_by = [&](monotonic_time t) {
     if (t > now) at = std::min(at, t);
   };
   if (call_) {
-    sooner(call_->requested_at + options_.store_timeout);
+    arm_by(call_->requested_at + options_.store_timeout);
   } else {
     at = std::min(at, std::max(now, next_store_at_));
   }
-  sooner(next_promise_request_at_);
-  sooner(until);
+  arm_by(next_request_at_);
+  arm_by(until);
   out.emplace_back(arm_timer{at});
 }
 
--- a/tests/protocol/membership_test.cc
+++ b/tests/protocol/membership_test.cc
@@ -27,7 +27,7 @@
   return info;
 }
 
-heartbeat Beat(const member_info& from, std::uint64_t sequence) {
+heartbeat MakeHeartbeat(const member_info& from, std::uint64_t sequence) {
   heartbeat message;
   message.member = from;
   message.sequence = sequence;
@@ -89,8 +89,8 @@
   void Deliver(const vm_id& to, membership& m,
                const std::pair<vm_id, membership::action>& sender_and_action) {
     const auto& [from, a] = sender_and_action;
-    if (const auto* beat = std::get_if<send_heartbeat>(&a)) {
-      Execute(to, m.OnHeartbeat(beat->message, At(time_)));
+    if (const auto* sent_heartbeat = std::get_if<send_heartbeat>(&a)) {
+      Execute(to, m.OnHeartbeat(sent_heartbeat->message, At(time_)));
     } else if (const auto* digest = std::get_if<send_zone_digest>(&a)) {
       Execute(to, m.OnZoneDigest(digest->message, At(time_)));
     } else if (const auto* pull = std::get_if<send_zone_pull>(&a)) {
@@ -131,11 +131,11 @@
   member_info old = Vm(1, 2, 5);
   member_info renewed = Vm(1, 2, 6);
   renewed.entry = {"127.0.0.9", 80};
-  m.OnHeartbeat(Beat(old, 90), At(0));
-  m.OnHeartbeat(Beat(renewed, 1), At(1));
-  BOOST_TEST(m.OnHeartbeat(Beat(old, 91), At(2)).empty());
+  m.OnHeartbeat(MakeHeartbeat(old, 90), At(0));
+  m.OnHeartbeat(MakeHeartbeat(renewed, 1), At(1));
+  BOOST_TEST(m.OnHeartbeat(MakeHeartbeat(old, 91), At(2)).empty());
   BOOST_TEST((m.Find(old.vm)->entry == renewed.entry));
-  BOOST_TEST(m.OnHeartbeat(Beat(renewed, 1), At(2)).empty());
+  BOOST_TEST(m.OnHeartbeat(MakeHeartbeat(renewed, 1), At(2)).empty());
 }
 
 // A VM leaves gracefully, and an earlier heartbeat arrives late. From the first
@@ -143,13 +143,13 @@
 BOOST_AUTO_TEST_CASE(LeavingVmIsOutAtOnceAndForGood) {
   membership m = MakeMembership(Vm(1, 1));
   member_info other = Vm(1, 2);
-  m.OnHeartbeat(Beat(other, 1), At(0));
+  m.OnHeartbeat(MakeHeartbeat(other, 1), At(0));
   BOOST_TEST(m.Usable().size() == 2u);
   other.leaving = true;
-  m.OnHeartbeat(Beat(other, 3), At(1));
+  m.OnHeartbeat(MakeHeartbeat(other, 3), At(1));
   BOOST_TEST(m.Usable().size() == 1u);
   other.leaving = false;
-  m.OnHeartbeat(Beat(other, 4), At(2));
+  m.OnHeartbeat(MakeHeartbeat(other, 4), At(2));
   BOOST_TEST((m.StateOf(other.vm) == member_state::kLeaving));
 }
 
@@ -158,12 +158,12 @@
 BOOST_AUTO_TEST_CASE(SilentVmLeavesLookUpsUntilItReports) {
   membership m = MakeMembership(Vm(1, 1));
   const member_info other = Vm(1, 2);
-  m.OnHeartbeat(Beat(other, 1), At(0));
+  m.OnHeartbeat(MakeHeartbeat(other, 1), At(0));
   m.OnTimer(At(3.9));
   BOOST_TEST((m.StateOf(other.vm) == member_state::kLive));
   m.OnTimer(At(4));
   BOOST_TEST((m.StateOf(other.vm) == member_state::kSilent));
-  m.OnHeartbeat(Beat(other, 2), At(5));
+  m.OnHeartbeat(MakeHeartbeat(other, 2), At(5));
   BOOST_TEST((m.StateOf(other.vm) == member_state::kLive));
 }
 
@@ -171,7 +171,7 @@
 BOOST_AUTO_TEST_CASE(OperatorSettingsTakePrecedence) {
   membership m = MakeMembership(Vm(1, 1));
   const member_info other = Vm(1, 2);
-  m.OnHeartbeat(Beat(other, 1), At(0));
+  m.OnHeartbeat(MakeHeartbeat(other, 1), At(0));
   m.OnOperatorWords({other.vm}, {}, At(1));
   BOOST_TEST((m.StateOf(other.vm) == member_state::kDraining));
   m.OnOperatorWords({}, {other.vm}, At(1));
--- a/tests/protocol/ownership_test.cc
+++ b/tests/protocol/ownership_test.cc
@@ -115,7 +115,7 @@
       const auto waiting = std::exchange(v.waiting, {});
       for (const auto& run : waiting) run();
       if (LocalNow(v) >= v.timer) Execute(n, v.machine->OnTimer(LocalNow(v)));
-      Work(n);
+      ServeRequests(n);
     }
     CheckExclusive();
   }
@@ -180,7 +180,7 @@
   };
 
   bool Chance(double p) { return random(1000000) < p * 1e6; }
-  void Later(std::function<void()> run) {
+  void DeliverLater(std::function<void()> run) {
     const double delay = longest_delay * random(1000) / 1000;
     events_.push({time + delay, ++event_number_, std::move(run)});
   }
@@ -191,7 +191,7 @@
     const auto guarded = [this, n, incarnation, run = std::move(run)] {
       if (vms[n].up && vms[n].incarnation == incarnation) run();
     };
-    Later([this, n, guarded] {
+    DeliverLater([this, n, guarded] {
       if (Frozen(n)) {
         vms[n].waiting.push_back(guarded);
       } else {
@@ -212,8 +212,8 @@
     }
   }
   void Perform(int n, const read_table& a) {
-    if (!Reaches(n, a.via) || Chance(loss)) return Fail(n, a.call);
-    Later([this, n, call = a.call] {
+    if (!Reaches(n, a.via) || Chance(loss)) return FailCall(n, a.call);
+    DeliverLater([this, n, call = a.call] {
       if (Chance(loss)) return;
       ToVm(n, [this, n, call, json = json_, revision = revision_] {
         Execute(n, vms[n].machine->OnTableRead(call, json, revision,
@@ -222,9 +222,9 @@
     });
   }
   void Perform(int n, const write_table& a) {
-    if (!Reaches(n, a.via)) return Fail(n, a.call);
+    if (!Reaches(n, a.via)) return FailCall(n, a.call);
     if (Chance(loss)) return;
-    Later([this, n, a] {
+    DeliverLater([this, n, a] {
       const bool ok = a.expected_revision == revision_;
       if (ok) {
         json_ = a.json;
@@ -238,7 +238,7 @@
       });
     });
   }
-  void Fail(int n, std::uint64_t call) {
+  void FailCall(int n, std::uint64_t call) {
     ToVm(n, [this, n, call] {
       Execute(n, vms[n].machine->OnStoreUnreachable(call, LocalNow(vms[n])));
     });
@@ -260,21 +260,21 @@
   void Perform(int, const ownership_changed&) {}
   void Perform(int n, const left&) {
     ++left_count;
-    Later([this, n, incarnation = vms[n].incarnation] {
+    DeliverLater([this, n, incarnation = vms[n].incarnation] {
       if (vms[n].incarnation == incarnation && vms[n].up) Kill(n);
     });
   }
   void Perform(int n, const arm_timer& a) { vms[n].timer = a.at; }
 
-  void Work(int n) {
+  void ServeRequests(int n) {
     vm& v = vms[n];
     for (const upstream_id& u : AllUpstreams()) {
       int& count = v.in_flight[u];
       const int before = count;
       if (count > 0 && Chance(finish_chance)) --count;
       const int slots = kSlots - v.machine->ReservedSlots(u);
-      const bool asked = !v.leaving && count < slots;
-      if (asked && v.machine->MaySend(u, LocalNow(v))) ++count;
+      const bool has_request = !v.leaving && count < slots;
+      if (has_request && v.machine->MaySend(u, LocalNow(v))) ++count;
       if (count != before) {
         Execute(n, v.machine->OnInFlight(u, count, LocalNow(v)));
       }
@@ -486,7 +486,7 @@
 }
 
 // Feeds scripted events to one ownership object.
-struct scripted {
+struct scripted_ownership {
   ownership machine;
   std::uint64_t call = 0;
   bool wrote = false;
@@ -498,13 +498,13 @@
     options.address = {"127.0.0.1", 2};
     return options;
   }
-  scripted() : machine(Options(), 1) {
+  scripted_ownership() : machine(Options(), 1) {
     machine.OnUpstreams({Upstream(0)}, At(1));
   }
   static monotonic_time At(double s) {
     return monotonic_time() + FromSeconds(s);
   }
-  void Take(const ownership::actions& list) {
+  void RecordCalls(const ownership::actions& list) {
     wrote = false;
     for (const auto& a : list) {
       if (const auto* read = std::get_if<read_table>(&a)) call = read->call;
@@ -514,12 +514,12 @@
       wrote = true;
     }
   }
-  void Timer(double at) { Take(machine.OnTimer(At(at))); }
+  void Timer(double at) { RecordCalls(machine.OnTimer(At(at))); }
   void TableRead(const std::string& json, std::uint64_t revision, double at) {
-    Take(machine.OnTableRead(call, json, revision, At(at)));
+    RecordCalls(machine.OnTableRead(call, json, revision, At(at)));
   }
   void Cas(cas_outcome outcome, std::uint64_t revision, double at) {
-    Take(machine.OnCasResult(call, outcome, revision, At(at)));
+    RecordCalls(machine.OnCasResult(call, outcome, revision, At(at)));
   }
 };
 
@@ -532,24 +532,24 @@
   table.members[vm_id("b")] = {1, {"127.0.0.1", 2}, 5, 2, 2, false};
   table.assignments[Upstream(0)] = {vm_id("a"), vm_id(), 0};
   const std::string json = WriteOwnershipTable(table);
-  scripted b;
-  const promise_ask ask{vm_id("a"), 1, 1, 1, 1};
+  scripted_ownership b;
+  const promise_ask request{vm_id("a"), 1, 1, 1, 1};
   b.Timer(1);
   b.TableRead(json, 7, 1);
   BOOST_TEST(b.wrote);
-  BOOST_TEST(b.machine.OnPromiseAsk(ask, b.At(1.1)).size() == 1u);
+  BOOST_TEST(b.machine.OnPromiseAsk(request, b.At(1.1)).size() == 1u);
   b.machine.OnStoreUnreachable(b.call, b.At(1.2));
   b.Timer(5);
   b.TableRead(json, 7, 5);
   BOOST_TEST(b.wrote);
   b.Cas(cas_outcome::kUnknown, 0, 5.1);
-  BOOST_TEST(b.machine.OnPromiseAsk(ask, b.At(5.2)).empty());
+  BOOST_TEST(b.machine.OnPromiseAsk(request, b.At(5.2)).empty());
 }
 
 // A leaving owner releases its upstream, and the answer to that write is lost.
 // Another member may have taken the upstream since.
 BOOST_AUTO_TEST_CASE(NoSendWhileReleaseIsOpen) {
-  scripted b;
+  scripted_ownership b;
   b.Timer(1);
   b.TableRead("", 0, 1);
   b.Cas(cas_outcome::kOk, 1, 1);
@@ -569,7 +569,7 @@
 // it, and the answer is lost. The new member may take over ttl later, so the
 // old one must not go on up to the horizon.
 BOOST_AUTO_TEST_CASE(OpenAcknowledgementEndsTheHorizon) {
-  scripted b;
+  scripted_ownership b;
   b.Timer(1);
   b.TableRead("", 0, 1);
   b.Cas(cas_outcome::kOk, 1, 1);
@@ -595,7 +595,7 @@
   table.epoch = 1;
   table.members[vm_id("a")] = {1, {"127.0.0.1", 1}, 5, 1, 1, true};
   for (const bool is_early : {true, false}) {
-    scripted b;
+    scripted_ownership b;
     b.Timer(1);
     b.TableRead(WriteOwnershipTable(table), 7, 1);
     b.Cas(cas_outcome::kOk, 8, 1);
@@ -615,7 +615,7 @@
 // The store holds a malformed table. Acting on a partly read table could give
 // an upstream two owners, so the member neither writes nor sends.
 BOOST_AUTO_TEST_CASE(BadTableIsLeftAlone) {
-  scripted b;
+  scripted_ownership b;
   b.Timer(1);
   b.TableRead("{\"epoch\":", 3, 1);
   BOOST_TEST(!b.wrote);
