--- a/include/citron/protocol/membership.h
+++ b/include/citron/protocol/membership.h
@@ -18,7 +18,7 @@
 namespace citron {
 
 enum class member_state {
-  kListed,    // On the platform's list, no report received yet.
+  kListed,    // Known from the platform's list, without a valid report.
   kLive,      // Reported recently, itself or through its zone's relay.
   kSilent,    // No reports for several heartbeat intervals. No proof of death.
   kDraining,  // Drained by an operator.
@@ -36,8 +36,8 @@
   endpoint dispatch;
   incarnation_number incarnation = 0;
   bool leaving = false;
-  // The VM's zone receives no heartbeats from it. Set only in reports of a
-  // relay.
+  // The relay evaluates the VM as silent or declared dead. Set only in reports
+  // of a relay.
   bool silent = false;
 
   friend bool operator==(const member_info&, const member_info&) = default;
@@ -202,13 +202,16 @@
     member_state emitted_state = member_state::kListed;
     bool has_emitted_state = false;
   };
-  // Last contact with a remote zone's relay; kept only by a relay.
+  // Last contact with a remote zone's relay; a VM that is not a relay clears it
+  // at each timer.
   struct relay_contact {
     monotonic_time silent_at;
     vm_id relay;
     incarnation_number incarnation = 0;
     std::uint64_t sequence = 0;
   };
+  // Hashes of a zone's members with `silent` as received in reports and as
+  // evaluated by this VM.
   struct zone_hash_cache {
     std::optional<std::uint64_t> received;
     std::optional<std::uint64_t> evaluated;
--- a/include/citron/protocol/ownership.h
+++ b/include/citron/protocol/ownership.h
@@ -24,16 +24,19 @@
   vm_id vm;
   incarnation_number incarnation = 0;
   endpoint address;  // Bound by this process already.
+  // An acknowledged member may take over after ttl without a renewal.
   duration ttl = FromSeconds(3);
   duration renew_interval = FromSeconds(1);
   // Longest ownership without a successful write to the store, by the local
   // clock.
   duration horizon = FromSeconds(3600);
+  // Added to each wait of an observer.
   duration margin = FromMilliseconds(500);
   // Largest relative difference between the rates of two VMs' clocks.
   double max_rate_error = 2e-3;
   // A store call without an answer within this time has an unknown outcome.
   duration store_timeout = FromSeconds(1);
+  // Longest random wait after a write conflict, for each member of the table.
   duration conflict_backoff = FromMilliseconds(20);
   // Longest wait of a hand-over for requests in flight; after it, the table
   // records their count.
@@ -52,10 +55,10 @@
   std::uint64_t number = 0;
 };
 
-// The sender promises not to take over from the receiver before ttl and margin
-// have passed.
-// With `predecessor_gone`: the process addressed by the request has ended, and
-// the sender has its address.
+// The sender promises not to take over from the receiver until ttl, the clock
+// rate error and margin have passed since the request arrived. With
+// `predecessor_gone` it promises nothing: it is a later process of the VM, and
+// if `address` is that of the addressed process's row, that process has ended.
 struct promise {
   vm_id from;
   incarnation_number from_incarnation = 0;  // The process addressed.
@@ -94,6 +97,7 @@
 // For routing and metrics only; MaySend decides whether a request may be sent.
 struct ownership_changed {
   std::set<upstream_id> owned;
+  // Send deadline at the time of this action; renewals don't update it.
   monotonic_time until;
 };
 // The row is out of the table; the process may end.
@@ -131,8 +135,9 @@
   // Sets the upstreams of this zone.
   actions OnUpstreams(const std::set<upstream_id>& upstreams,
                       monotonic_time now);
-  // Reports the requests in flight at the upstream, before each send; while
-  // this process leaves, the count includes requests queued for the upstream.
+  // Sets the number of requests in flight at the upstream; must be called
+  // before each send and after each request that ends. While this process
+  // leaves, the count includes requests queued for the upstream.
   actions OnInFlight(const upstream_id& upstream, int count,
                      monotonic_time now);
   actions OnLeave(monotonic_time now);
@@ -141,7 +146,8 @@
 
   // Must be called right before each send, with the time read right before.
   bool MaySend(const upstream_id& upstream, monotonic_time now) const;
-  // Returns the slots that requests of the previous owner still occupy.
+  // Returns the slots reserved for the previous owner's requests: their count
+  // at the hand-over, until all of them have ended.
   int ReservedSlots(const upstream_id& upstream) const;
   // Returns the time until which this process may send; may be in the past.
   monotonic_time Until() const;
@@ -155,8 +161,9 @@
  private:
   using member_key = std::pair<vm_id, incarnation_number>;
 
-  // A write without a final answer: it may have taken effect or may still take
-  // effect.
+  // A write that is not settled: without an answer, or with a conflict that no
+  // table read has confirmed yet. Without an answer it may have taken effect or
+  // may still take effect.
   struct pending_write {
     std::uint64_t call = 0;
     std::uint64_t counter = 0;
@@ -188,7 +195,7 @@
   void RecordWrite(const pending_write& written);
   void ObserveRows(monotonic_time now);
   void UpdateBounds();
-  void AfterFailure(monotonic_time now);
+  void ScheduleRetry(monotonic_time now);
 
   void PlanWrite(monotonic_time now, actions& out);
   void FinishLeaving(actions& out);
@@ -196,11 +203,12 @@
   bool MayEvict(const vm_id& vm, const ownership_member& row,
                 monotonic_time now) const;
   void Evict(ownership_table& next, monotonic_time now) const;
-  void DropUnknown(ownership_table& next) const;
+  void DropUnknownUpstreams(ownership_table& next) const;
   void ClearDrained(ownership_table& next) const;
   void HandOver(ownership_table& next, monotonic_time now);
-  void HandOverOne(const upstream_id& upstream, ownership_assignment& entry,
-                   const vm_id& to, monotonic_time now);
+  void HandOverUpstream(const upstream_id& upstream,
+                        ownership_assignment& assignment, const vm_id& to,
+                        monotonic_time now);
   void TakeUnassigned(ownership_table& next, monotonic_time now) const;
   bool HoldsNoUpstream(const ownership_table& table) const;
   std::set<vm_id> Candidates(const ownership_table& table,
@@ -238,7 +246,9 @@
   monotonic_time next_request_at_ = monotonic_time::min();
   monotonic_time next_store_at_ = monotonic_time::min();
   int store_failures_ = 0;
-  std::size_t route_ = 0;  // 0: this VM's control; otherwise another member's.
+  // Index of the route, modulo the number of routes. Route 0 is this VM's
+  // control, the others are the other members' controls.
+  std::size_t route_ = 0;
   monotonic_time local_route_retry_at_ = monotonic_time::min();
   std::set<upstream_id> upstreams_;
   bool has_upstreams_ = false;
--- a/include/citron/protocol/ownership_table.h
+++ b/include/citron/protocol/ownership_table.h
@@ -13,8 +13,9 @@
 
 namespace citron {
 
-// A dispatch process of the zone. Only that process changes its row; other
-// members may only remove the row.
+// A dispatch process of the zone. Only that process, or a later process of the
+// same VM that replaces it, changes its row; other members may only remove the
+// row.
 struct ownership_member {
   incarnation_number incarnation = 0;
   endpoint address;           // Bound before the process joined.
--- a/src/protocol/membership.cc
+++ b/src/protocol/membership.cc
@@ -38,8 +38,9 @@
   return state == member_state::kLive || state == member_state::kListed;
 }
 
-// A relay reports a member as silent if no heartbeats arrive from it or it is
-// declared dead, also if an operator drains it.
+// A relay reports a VM as silent if no heartbeats arrive from it or if
+// operators have declared it dead. Draining makes no difference: EvaluateState
+// checks for silence first.
 bool CountsAsSilent(member_state state) {
   return state == member_state::kSilent || state == member_state::kGone;
 }
@@ -64,7 +65,7 @@
     r.listed = true;
     r.listed_leaving = listing.leaving;
     r.remove_at = now + kRetention;
-    // The VM's own report is newer than the lagging list.
+    // Reports are newer than the lagging list and set the control endpoint.
     if (!r.reported) r.info.control = listing.control;
   }
   UpdateAllStates(now, out);
@@ -118,7 +119,8 @@
   if (IsLocalZone(message.zone) || IsSelf(message.relay)) return {};
   relay_contact& contact = relay_contacts_[message.zone];
   // While two members of a zone both act as its relay, the sequence of one
-  // isn't compared with that of the other; their reports converge.
+  // isn't compared with that of the other. A digest of either is accepted, and
+  // a differing hash leads to a pull.
   const bool is_same = contact.relay == message.relay;
   const bool is_late =
       is_same && (message.incarnation < contact.incarnation ||
@@ -485,10 +487,10 @@
   }
 }
 
-// Returns the receiver of messages to another zone: its relay if one is known.
-// When the relays of two zones die at once, each zone's new relay would send to
-// the other's dead one for ever; so without a known relay the members are tried
-// in turn, and each of them forwards what it receives.
+// Returns the receiver of messages to another zone: its relay or, if none is
+// known, its members in turn. Otherwise, when the relays of two zones die at
+// once, each zone's new relay would send to the other zone's dead relay for
+// ever. Any member forwards received changes of members within its zone.
 const member_info* membership::ZoneReceiver(const zone_id& zone) const {
   const vm_id relay = RelayOf(zone);
   if (!relay.IsEmpty()) return &members_.at(relay).info;
--- a/src/protocol/ownership.cc
+++ b/src/protocol/ownership.cc
@@ -9,9 +9,11 @@
 // Why ownership is exclusive.
 //
 // An owner is a process that has a row in the table and to which the table
-// assigns the upstream. An assignment is changed only by its owner, or by a
-// member that removes the owner's row ("takes over"). So no member may take
-// over while the owner may still send. For each member that could take over,
+// assigns the upstream. An upstream's owner is changed only by that owner, or
+// by a member that removes the owner's row ("takes over"; in code: evicts). So
+// no member may take over while the owner may still send. Two exceptions need
+// no wait: operators have declared the VM dead, or a later process of the same
+// VM has bound the old process's address. For each member that could take over,
 // the owner keeps a bound, a time by the owner's clock before which that member
 // can't, and the owner stops sending at the earliest bound:
 //  - after a write that took effect, ttl from the request of the write: a
@@ -40,12 +42,15 @@
 using ownership_action::send_promise_ask;
 using ownership_action::write_table;
 
-// Promises for older requests are of no use: their ttl has passed.
+// Promise requests are half a renew interval apart. With the default options,
+// the ttl of older ones has passed, and promises for them are of no use.
 constexpr std::size_t kMaxOpenRequests = 8;
-// Keeps the members from calling a store that comes back all at once, and from
-// calling a store that is down for an hour every second.
-constexpr int kMaxBackoff = 5;
-// Dispatches that stand by look for a free place less often than members renew.
+// Longest wait after failed store calls, in renew intervals. Without backoff,
+// members would call a failed store every second for as long as an hour-long
+// outage; random waits keep them from calling a recovered store all at once.
+constexpr int kMaxBackoffIntervals = 5;
+// Renew intervals between the reads of a dispatch that stands by. It has no
+// ownership to renew, so it looks for a free place less often.
 constexpr int kStandbyFactor = 5;
 // Renew intervals between attempts to use the local control while calls go
 // through another VM.
@@ -68,10 +73,10 @@
   table.members.erase(vm);
   std::erase_if(table.assignments,
                 [&](const auto& item) { return item.second.owner == vm; });
-  for (auto& [upstream, entry] : table.assignments) {
-    if (entry.draining_at != vm) continue;
-    entry.draining_at = vm_id();
-    entry.draining_count = 0;
+  for (auto& [upstream, assignment] : table.assignments) {
+    if (assignment.draining_at != vm) continue;
+    assignment.draining_at = vm_id();
+    assignment.draining_count = 0;
   }
 }
 
@@ -87,7 +92,7 @@
   actions out;
   if (call_ && now >= call_->requested_at + options_.store_timeout) {
     call_.reset();
-    AfterFailure(now);
+    ScheduleRetry(now);
   }
   if (!call_ && !left_ && now >= next_store_at_) StartStoreCall(now, out);
   RequestPromises(now, out);
@@ -111,8 +116,10 @@
   }
   const result<ownership_table> parsed = ParseOwnershipTable(json);
   if (!IsOk(parsed)) {
-    // Without a valid table nothing is taken over or renewed; ownership expires
-    // until an operator has repaired the table.
+    // Without a valid table this process writes nothing until an operator has
+    // repaired the table, so it neither takes over nor renews. Ownership from
+    // an earlier table goes on by promises, or without other members, and ends
+    // at the horizon at the latest.
     ++malformed_tables_;
     EmitChangeAndTimer(now, out);
     return out;
@@ -145,7 +152,7 @@
     const auto members = static_cast<int>(table_.members.size() + 1);
     next_store_at_ = now + RandomUpTo(options_.conflict_backoff * members);
   } else {
-    AfterFailure(now);
+    ScheduleRetry(now);
   }
   EmitChangeAndTimer(now, out);
   return out;
@@ -158,7 +165,7 @@
   std::erase_if(pending_writes_,
                 [&](const pending_write& a) { return a.call == call; });
   UpdateBounds();
-  AfterFailure(now);
+  ScheduleRetry(now);
   RequestPromises(now, out);
   EmitChangeAndTimer(now, out);
   return out;
@@ -173,17 +180,18 @@
   answer.number = message.number;
   answer.address = options_.address;
   if (message.to_incarnation != options_.incarnation) {
-    // The request addresses an earlier process of this VM. A frozen process
-    // keeps its port, and a leaving one closes its port last; so this process
-    // has the address only because the earlier one has ended.
+    // The request addresses an earlier process of this VM. The receiver accepts
+    // this report only if this process's address is in the earlier process's
+    // row: a frozen process keeps its port, and a leaving one closes its port
+    // last, so the earlier process has then ended.
     if (message.to_incarnation > options_.incarnation) return {};
     answer.predecessor_gone = true;
     return {send_promise{message.from, answer}};
   }
   if (!has_table_ || left_) return {};
   // A sender that was taken over gets no promise, or it would go on sending
-  // beside its successor. A sender that joined after this table was read is not
-  // known here yet.
+  // beside its successor. A sender that joined after this table was read is
+  // missing from the table only for that reason, and gets a promise.
   const auto row = table_.members.find(message.from);
   const bool is_member = row != table_.members.end() &&
                          row->second.incarnation == message.from_incarnation;
@@ -216,8 +224,9 @@
     EmitChangeAndTimer(now, out);
     return out;
   }
-  // The ended process can't take over any more, but a write that it sent before
-  // may still arrive. Before its bound it can't have sent such a write.
+  // The address of the earlier process's row shows that this process has ended.
+  // It can't take over any more, but a write that it sent before may still
+  // arrive. Before its bound it can't have sent such a write.
   const auto row = table_.members.find(message.from);
   const bool same_address =
       row != table_.members.end() && row->second.address == message.address;
@@ -247,9 +256,9 @@
     return out;
   }
   in_flight_.erase(upstream);
-  const auto entry = table_.assignments.find(upstream);
-  const bool is_draining = entry != table_.assignments.end() &&
-                           entry->second.draining_at == options_.vm;
+  const auto assignment = table_.assignments.find(upstream);
+  const bool is_draining = assignment != table_.assignments.end() &&
+                           assignment->second.draining_at == options_.vm;
   if (!leaving_ && !is_draining && !handovers_.contains(upstream)) return out;
   next_store_at_ = std::min(next_store_at_, now);
   EmitChangeAndTimer(now, out);
@@ -277,7 +286,7 @@
 
 // A frozen process may resume at any instruction, so no earlier result is
 // reused: the time is read right before the send and compared with bounds that
-// only messages change.
+// don't depend on the current time, so a pause can't make them stale.
 bool ownership::MaySend(const upstream_id& upstream, monotonic_time now) const {
   if (now >= Until()) return false;
   if (handovers_.contains(upstream)) return false;
@@ -289,10 +298,10 @@
 }
 
 int ownership::ReservedSlots(const upstream_id& upstream) const {
-  const auto entry = table_.assignments.find(upstream);
-  if (entry == table_.assignments.end()) return 0;
-  if (entry->second.draining_at == options_.vm) return 0;
-  return entry->second.draining_count;
+  const auto assignment = table_.assignments.find(upstream);
+  if (assignment == table_.assignments.end()) return 0;
+  if (assignment->second.draining_at == options_.vm) return 0;
+  return assignment->second.draining_count;
 }
 
 monotonic_time ownership::Until() const {
@@ -306,15 +315,16 @@
 
 std::set<upstream_id> ownership::Owned() const {
   std::set<upstream_id> owned;
-  for (const auto& [upstream, entry] : table_.assignments) {
+  for (const auto& [upstream, assignment] : table_.assignments) {
     if (IsAssignedToThisVm(table_, upstream)) owned.insert(upstream);
   }
   return owned;
 }
 
 vm_id ownership::OwnerOf(const upstream_id& upstream) const {
-  const auto entry = table_.assignments.find(upstream);
-  return entry == table_.assignments.end() ? vm_id() : entry->second.owner;
+  const auto assignment = table_.assignments.find(upstream);
+  return assignment == table_.assignments.end() ? vm_id()
+                                                : assignment->second.owner;
 }
 
 bool ownership::IsMember() const {
@@ -325,8 +335,9 @@
 
 bool ownership::IsAssignedToThisVm(const ownership_table& table,
                                    const upstream_id& u) const {
-  const auto entry = table.assignments.find(u);
-  return entry != table.assignments.end() && entry->second.owner == options_.vm;
+  const auto assignment = table.assignments.find(u);
+  return assignment != table.assignments.end() &&
+         assignment->second.owner == options_.vm;
 }
 
 bool ownership::CompletesCall(std::uint64_t call) {
@@ -367,9 +378,9 @@
                 [&](const auto& item) { return item.second < now; });
 }
 
-// Settles writes whose answer was lost by the table: once the revision differs
-// from the expected one, a write can't take effect any more; if it took effect
-// before, the row has its counter.
+// Settles pending writes by the table just read: once its revision differs from
+// the one that a write expected, the write can't take effect any more; if the
+// write took effect before, this VM's row has its counter.
 void ownership::ResolvePendingWrites() {
   const auto row = table_.members.find(options_.vm);
   for (const pending_write& a : pending_writes_) {
@@ -425,11 +436,11 @@
   }
 }
 
-void ownership::AfterFailure(monotonic_time now) {
+void ownership::ScheduleRetry(monotonic_time now) {
   ++store_failures_;
   ++route_;
   const duration most =
-      options_.renew_interval * std::min(store_failures_, kMaxBackoff);
+      options_.renew_interval * std::min(store_failures_, kMaxBackoffIntervals);
   next_store_at_ = now + most / 2 + RandomUpTo(most / 2);
 }
 
@@ -453,7 +464,7 @@
   }
   Evict(next, now);
   next.members.at(options_.vm).leaving = leaving_;
-  DropUnknown(next);
+  DropUnknownUpstreams(next);
   ClearDrained(next);
   HandOver(next, now);
   TakeUnassigned(next, now);
@@ -473,12 +484,11 @@
     const ownership_member& old = row->second;
     // A later process of this VM has joined and replaced this one.
     if (old.incarnation > options_.incarnation) return false;
-    // The port proves that the previous process has ended: a frozen process
-    // keeps its port, the kernel frees the port only when all threads have
-    // ended, and a leaving process closes it only after its row is removed. So
-    // this process continues the assignments, which the table lists under the
-    // VM's name. At another address there is no such proof, and this process
-    // waits like any other observer.
+    // At the same address, the previous process has ended: the kernel frees a
+    // port only when all threads have ended, also those of a frozen process,
+    // and a leaving process closes its port only after its row is removed. So
+    // this process replaces the row and keeps the VM's assignments. At another
+    // address it waits like any other observer.
     const bool is_replaced = old.address == options_.address;
     if (!is_replaced && !MayEvict(options_.vm, old, now)) return false;
   } else {
@@ -516,7 +526,7 @@
   for (const vm_id& vm : evicted) RemoveMember(next, vm);
 }
 
-void ownership::DropUnknown(ownership_table& next) const {
+void ownership::DropUnknownUpstreams(ownership_table& next) const {
   if (!has_upstreams_) return;
   std::erase_if(next.assignments, [&](const auto& item) {
     return item.second.owner == options_.vm &&
@@ -525,10 +535,10 @@
 }
 
 void ownership::ClearDrained(ownership_table& next) const {
-  for (auto& [upstream, entry] : next.assignments) {
-    if (entry.draining_at != options_.vm || InFlight(upstream) > 0) continue;
-    entry.draining_at = vm_id();
-    entry.draining_count = 0;
+  for (auto& [id, assignment] : next.assignments) {
+    if (assignment.draining_at != options_.vm || InFlight(id) > 0) continue;
+    assignment.draining_at = vm_id();
+    assignment.draining_count = 0;
   }
 }
 
@@ -537,8 +547,8 @@
 void ownership::HandOver(ownership_table& next, monotonic_time now) {
   const std::set<vm_id> candidates = Candidates(next, now);
   std::vector<upstream_id> released;
-  for (auto& [upstream, entry] : next.assignments) {
-    if (entry.owner != options_.vm) continue;
+  for (auto& [upstream, assignment] : next.assignments) {
+    if (assignment.owner != options_.vm) continue;
     const vm_id to = RendezvousWinner(upstream, candidates);
     if (to == options_.vm) {
       handovers_.erase(upstream);
@@ -552,8 +562,8 @@
     const bool may_begin = leaving_ || handovers_.empty();
     if (!handovers_.contains(upstream) && !may_begin) continue;
     // An assignment records the slots of only one previous owner.
-    if (!entry.draining_at.IsEmpty()) continue;
-    HandOverOne(upstream, entry, to, now);
+    if (!assignment.draining_at.IsEmpty()) continue;
+    HandOverUpstream(upstream, assignment, to, now);
   }
   for (const upstream_id& upstream : released) next.assignments.erase(upstream);
 }
@@ -561,16 +571,16 @@
 // Long requests may be in flight for minutes, and waiting for them would leave
 // the upstream's other slots idle. After `handover_drain_limit` the assignment
 // records their count, and the new owner doesn't use their slots.
-void ownership::HandOverOne(const upstream_id& upstream,
-                            ownership_assignment& entry, const vm_id& to,
-                            monotonic_time now) {
+void ownership::HandOverUpstream(const upstream_id& upstream,
+                                 ownership_assignment& assignment,
+                                 const vm_id& to, monotonic_time now) {
   const auto [at, is_new] =
       handovers_.try_emplace(upstream, now + options_.handover_drain_limit);
   const int count = InFlight(upstream);
   if (count == 0) {
-    entry = {to, vm_id(), 0};
+    assignment = {to, vm_id(), 0};
   } else if (now >= at->second) {
-    entry = {to, options_.vm, count};
+    assignment = {to, options_.vm, count};
   }
 }
 
@@ -610,8 +620,9 @@
   return candidates;
 }
 
-// If the table has other members, reads it first to observe their counters. A
-// lone member learns of a new member by a write conflict.
+// Writes without a read only if this process is the sole row of the table and
+// no write is pending: a write conflict then shows a new member. Otherwise
+// reads first, to observe the other members' counters.
 void ownership::StartStoreCall(monotonic_time now, actions& out) {
   const bool is_alone = IsMember() && table_.members.size() == 1;
   if (is_alone && pending_writes_.empty()) {
@@ -646,9 +657,9 @@
       {last_call_, counter_, revision_, now, std::move(next)});
 }
 
-// Without the store, requests a promise from every member that could take over.
-// A member that doesn't answer may be cut off from this process but not from
-// the store.
+// If no write has taken effect for 1.5 renew intervals, requests a promise from
+// every member that could take over. All of them must answer: a member that
+// doesn't may be cut off from this process but not from the store.
 void ownership::RequestPromises(monotonic_time now, actions& out) {
   if (bounds_.empty() || left_ || !IsMember() || now < next_request_at_) return;
   const bool renewed =
--- a/src/protocol/vm_registration.cc
+++ b/src/protocol/vm_registration.cc
@@ -2,10 +2,10 @@
 
 namespace citron {
 
-// Load pattern: VMs that die without notice and VMs that are added unplanned.
-// Without a lease the list would name dead VMs for ever. A lease that expired
-// during an outage of the store is requested again as soon as the store reports
-// the expiry.
+// VMs may die without notice and may be added at any time, so the store lists
+// each VM by a lease: without one, the list would name dead VMs for ever. A
+// lease that expired during an outage of the store is requested again as soon
+// as the store reports the expiry.
 
 vm_registration::vm_registration(const registration_options& options)
     : options_(options) {}
--- a/tests/protocol/membership_test.cc
+++ b/tests/protocol/membership_test.cc
@@ -138,8 +138,8 @@
   BOOST_TEST(m.OnHeartbeat(MakeHeartbeat(renewed, 1), At(2)).empty());
 }
 
-// A VM leaves gracefully, and an earlier heartbeat arrives late. From the first
-// report of leaving on, callers must not be sent to the VM.
+// A VM leaves gracefully, and a heartbeat without `leaving` arrives after that.
+// From the first report of leaving on, callers must not be sent to the VM.
 BOOST_AUTO_TEST_CASE(LeavingVmIsOutAtOnceAndForGood) {
   membership m = MakeMembership(Vm(1, 1));
   member_info other = Vm(1, 2);
--- a/tests/protocol/ownership_test.cc
+++ b/tests/protocol/ownership_test.cc
@@ -567,7 +567,8 @@
 
 // A sole member reaches the store again, finds a new member and acknowledges
 // it, and the answer is lost. The new member may take over ttl later, so the
-// old one must not go on up to the horizon.
+// old one must not go on up to the horizon. The new member is leaving and gets
+// no upstreams.
 BOOST_AUTO_TEST_CASE(OpenAcknowledgementEndsTheHorizon) {
   scripted_ownership b;
   b.Timer(1);
@@ -613,7 +614,8 @@
 }
 
 // The store holds a malformed table. Acting on a partly read table could give
-// an upstream two owners, so the member neither writes nor sends.
+// an upstream two owners, so a process whose first read is malformed must
+// neither write nor send.
 BOOST_AUTO_TEST_CASE(BadTableIsLeftAlone) {
   scripted_ownership b;
   b.Timer(1);
