--- a/tests/policy/service_scheduler_test.cc
+++ b/tests/policy/service_scheduler_test.cc
@@ -53,8 +53,8 @@
     demands[load.workspace] = {w.offered / time_s, load.weight};
   }
   double worst = 1e9;
-  for (const auto& [id, fair] : FairParts(demands, capacity)) {
-    worst = std::min(worst, result.workspaces.at(id).good / time_s / fair);
+  for (const auto& [id, fair] : FairShares(demands, capacity)) {
+    worst = std::min(worst, result.workspaces.at(id).answered_in_time / time_s / fair);
   }
   return worst;
 }
@@ -113,8 +113,8 @@
   const auto result = Simulate(YardDesk(), loads, seconds(45));
   CheckSlotsAndDeadlines(result);
   const double max_good = kCapacity * 20 + 0.4 * kCapacity * 25;
-  BOOST_TEST(result.Good() > 0.95 * max_good);
-  BOOST_TEST(result.sends < 1.02 * result.Good());
+  BOOST_TEST(result.AnsweredInTime() > 0.95 * max_good);
+  BOOST_TEST(result.sends < 1.02 * result.AnsweredInTime());
 }
 
 // The same burst with longer deadlines and callers that retry soon after a
@@ -125,13 +125,13 @@
     load.burst_factor = 5;
     load.burst_from = seconds(10);
     load.burst_to = seconds(30);
-    load.asks = 10;
+    load.max_attempts = 10;
     load.ask_again = milliseconds(100);
   }
   const auto result = Simulate(YardDesk(), loads, seconds(45));
   CheckSlotsAndDeadlines(result);
-  BOOST_TEST(result.asked > 1.5 * result.Offered());
-  BOOST_TEST(result.sends < 1.1 * result.Good());
+  BOOST_TEST(result.requests_to_owners > 1.5 * result.Offered());
+  BOOST_TEST(result.sends < 1.1 * result.AnsweredInTime());
 }
 
 // Guards against a stale in-flight count when a dispatch hands an upstream to
@@ -182,7 +182,7 @@
     const auto loads = LookupLoads(load_factor * kCapacity, milliseconds(500));
     const auto result = Simulate(YardDesk(), loads, seconds(40), seconds(5));
     CheckSlotsAndDeadlines(result);
-    BOOST_TEST(result.Good() > 0.95 * kCapacity * 35);
+    BOOST_TEST(result.AnsweredInTime() > 0.95 * kCapacity * 35);
     BOOST_TEST(WorstFractionOfFairShare(result, loads, kCapacity, 35) > 0.8);
   }
 }
@@ -197,7 +197,7 @@
   BOOST_TEST(WorstFractionOfFairShare(result, loads, kCapacity, 35) > 0.8);
   for (std::size_t i = 0; i + 1 < loads.size(); ++i) {
     const auto& w = result.workspaces.at(loads[i].workspace);
-    BOOST_TEST(w.good > 0.97 * w.offered);
+    BOOST_TEST(w.answered_in_time > 0.97 * w.offered);
   }
 }
 
@@ -214,7 +214,7 @@
   reports.request_class = "report";
   reports.long_running = true;
   reports.service_time = seconds(4);
-  reports.patience = seconds(30);
+  reports.request_timeout = seconds(30);
   reports.rate_per_s = 4;
   loads.push_back(reports);
   const auto mixed = Simulate(YardDesk(), loads, seconds(60), seconds(10));
@@ -224,7 +224,7 @@
   BOOST_TEST(p99_mixed < 2 * p99_alone);
   // The reports still get more than 0.4 of the slot time left by the look-ups.
   const double slots_left = 16 - 0.35 * 16;
-  BOOST_TEST(mixed.workspaces.at(reports.workspace).good >
+  BOOST_TEST(mixed.workspaces.at(reports.workspace).answered_in_time >
              0.4 * slots_left / 4 * 50);
 }
 
@@ -236,7 +236,7 @@
   const auto loads = LookupLoads(0.6 * kCapacity, milliseconds(600));
   const auto result = Simulate(upstreams, loads, seconds(40), seconds(5));
   CheckSlotsAndDeadlines(result);
-  BOOST_TEST(result.Good() > 0.97 * result.Offered());
+  BOOST_TEST(result.AnsweredInTime() > 0.97 * result.Offered());
   BOOST_TEST(Percentile(result.latency_ms.at("lookup"), 0.95) < 200);
 }
 
@@ -247,7 +247,7 @@
   upstreams[2].fails_fast = true;
   const auto loads = LookupLoads(0.6 * kCapacity, milliseconds(600));
   const auto result = Simulate(upstreams, loads, seconds(40));
-  BOOST_TEST(result.Good() > 0.99 * result.Offered());
+  BOOST_TEST(result.AnsweredInTime() > 0.99 * result.Offered());
 }
 
 // One server reports itself as healthy and idle while it answers with errors. A
@@ -258,7 +258,7 @@
   upstreams[2].says_idle = true;
   const auto loads = LookupLoads(0.6 * kCapacity, milliseconds(600));
   const auto result = Simulate(upstreams, loads, seconds(40));
-  BOOST_TEST(result.Good() > 0.99 * result.Offered());
+  BOOST_TEST(result.AnsweredInTime() > 0.99 * result.Offered());
 }
 
 // One server's slots are filled by other callers, and the server reports itself
@@ -269,7 +269,7 @@
   upstreams[0].says_idle = true;
   const auto loads = LookupLoads(0.6 * kCapacity, milliseconds(600));
   const auto result = Simulate(upstreams, loads, seconds(40));
-  BOOST_TEST(result.Good() > 0.99 * result.Offered());
+  BOOST_TEST(result.AnsweredInTime() > 0.99 * result.Offered());
   BOOST_TEST(result.sheds < 0.02 * result.sends);
 }
 
@@ -281,15 +281,15 @@
     auto loads = LookupLoads(0.4 * kCapacity, seconds(2));
     simulated_load poison_request = loads.back();
     poison_request.workspace = workspace_id("killer");
-    poison_request.crashes = true;
+    poison_request.crashes_upstream = true;
     poison_request.idempotent = idempotent;
     poison_request.rate_per_s = 0.5;
     loads.push_back(poison_request);
     const auto result = Simulate(YardDesk(), loads, seconds(40));
     BOOST_TEST(result.crashes == 2);
-    BOOST_TEST(result.workspaces.at(poison_request.workspace).good == 0);
+    BOOST_TEST(result.workspaces.at(poison_request.workspace).answered_in_time == 0);
     const int poison_refusals =
-        result.workspaces.at(poison_request.workspace).refused;
+        result.workspaces.at(poison_request.workspace).callers_rejected;
     const auto poison = result.refusals.find(refusal_reason::kPoison);
     BOOST_TEST_REQUIRE((poison != result.refusals.end()));
     BOOST_TEST(poison->second == poison_refusals);
--- a/tests/policy/zone_simulation.h
+++ b/tests/policy/zone_simulation.h
@@ -72,14 +72,14 @@
   duration service_time{};  // Mean.
   bool long_running = false;
   bool idempotent = true;
-  duration patience{};
+  duration request_timeout{};
   double rate_per_s = 0;
   double burst_factor = 1;  // Multiplies the rate during the burst.
   duration burst_from{};
   duration burst_to{};
-  int asks = 1;          // Most attempts of a caller whose request is rejected.
+  int max_attempts = 1;          // Most attempts of a caller whose request is rejected.
   duration ask_again{};  // Pause between attempts; 0: until the refusal's time.
-  bool crashes = false;  // Identical requests; each crashes its upstream.
+  bool crashes_upstream = false;  // Identical requests; each crashes its upstream.
 };
 
 struct simulated_upstream {
@@ -93,9 +93,9 @@
 
 struct workspace_result {
   int offered = 0;  // Callers.
-  int good = 0;     // Answered in time.
-  int refused = 0;  // Callers that gave up after a rejection.
-  int late = 0;     // Callers with a request timed out, failed or lost.
+  int answered_in_time = 0;     // Answered in time.
+  int callers_rejected = 0;  // Callers that gave up after a rejection.
+  int callers_failed = 0;     // Callers with a request timed out, failed or lost.
   std::vector<double> latency_ms;
 };
 
@@ -104,7 +104,7 @@
   std::map<std::string, std::vector<double>> latency_ms;  // By class.
   std::map<refusal_reason, int> refusals;
   std::map<upstream_id, int> good_by_upstream;
-  int asked = 0;  // Requests to the owners, including repeated attempts.
+  int requests_to_owners = 0;  // Requests to the owners, including repeated attempts.
   int sends = 0;
   int sheds = 0;
   int crashes = 0;
@@ -112,9 +112,9 @@
   // Most requests over the slots of an upstream, before shedding.
   int most_over_slots = 0;
 
-  int Good() const {
+  int AnsweredInTime() const {
     int sum = 0;
-    for (const auto& [id, w] : workspaces) sum += w.good;
+    for (const auto& [id, w] : workspaces) sum += w.answered_in_time;
     return sum;
   }
   int Offered() const {
@@ -133,7 +133,7 @@
 
 // Returns the weighted fair shares of a capacity. Workspaces that want less
 // than their share leave the rest to the others.
-inline std::map<workspace_id, double> FairParts(
+inline std::map<workspace_id, double> FairShares(
     const std::map<workspace_id, std::pair<double, double>>& want_and_weight,
     double capacity) {
   std::map<workspace_id, double> shares;
@@ -238,11 +238,11 @@
                             (0.5 + 0.5 * ExponentialVariate()));
     c.request = {.workspace = load.workspace,
                  .weight = load.weight,
-                 .fingerprint = load.crashes ? 666 : random_(),
+                 .fingerprint = load.crashes_upstream ? 666 : random_(),
                  .request_class = load.request_class,
                  .long_running = load.long_running,
                  .idempotent = load.idempotent,
-                 .deadline = Now() + load.patience};
+                 .deadline = Now() + load.request_timeout};
     if (IsCounted(c)) ++result_.workspaces[load.workspace].offered;
     SendToOwner(std::move(c));
   }
@@ -251,7 +251,7 @@
 
   void SendToOwner(caller c) {
     ++c.attempts;
-    if (IsCounted(c)) ++result_.asked;
+    if (IsCounted(c)) ++result_.requests_to_owners;
     c.request.id = request_id(std::to_string(next_request_++));
     c.request.arrived_at = Now();
     c.owner = random_(static_cast<std::uint32_t>(owners_.size()));
@@ -285,10 +285,10 @@
     if (c.load->ask_again > duration())
       again = loop_.Elapsed() + c.load->ask_again;
     const bool in_time = monotonic_time(again) < c.request.deadline;
-    if (c.attempts < c.load->asks && in_time) {
+    if (c.attempts < c.load->max_attempts && in_time) {
       loop_.At(again, [this, c] { SendToOwner(c); });
     } else if (IsCounted(c)) {
-      ++result_.workspaces[c.load->workspace].refused;
+      ++result_.workspaces[c.load->workspace].callers_rejected;
     }
   }
 
@@ -324,7 +324,7 @@
   void Start(upstream_state& u, const request_id& id) {
     caller& c = callers_.at(id);
     u.running.push_back(id);
-    if (c.load->crashes) {
+    if (c.load->crashes_upstream) {
       loop_.At(loop_.Elapsed() + std::chrono::milliseconds(20),
                [this, &u, id] { Crash(u, id); });
       return;
@@ -382,7 +382,7 @@
       const caller& done = left->second;
       const bool failed = outcome != upstream_outcome::kAnswered;
       if (failed && IsCounted(done))
-        ++result_.workspaces[done.load->workspace].late;
+        ++result_.workspaces[done.load->workspace].callers_failed;
       callers_.erase(left);
     }
     StartQueued(u);
@@ -402,7 +402,7 @@
   void RecordAnswer(const caller& c) {
     if (!IsCounted(c)) return;
     workspace_result& w = result_.workspaces[c.load->workspace];
-    ++w.good;
+    ++w.answered_in_time;
     ++result_.good_by_upstream[c.upstream];
     const double ms = ToMilliseconds(loop_.Elapsed() - c.arrived);
     w.latency_ms.push_back(ms);
@@ -474,7 +474,7 @@
     load.workspace = workspace_id("depot-" + std::to_string(i));
     load.weight = relative_rates[i];
     load.service_time = std::chrono::milliseconds(40);
-    load.patience = patience;
+    load.request_timeout = patience;
     load.rate_per_s = rate_per_s * relative_rates[i] / 23;
     loads.push_back(load);
   }
--- a/tools/policy_experiment/experiment.cc
+++ b/tools/policy_experiment/experiment.cc
@@ -125,9 +125,9 @@
   for (const simulated_upstream& u : s.servers) slots += u.capacity.slots;
   double worst = 1;
   for (const simulated_load& load : s.callers) {
-    if (load.crashes) continue;
-    const double fair = FairParts(wants, slots)[load.workspace];
-    const double got = result.workspaces.at(load.workspace).good / time_s *
+    if (load.crashes_upstream) continue;
+    const double fair = FairShares(wants, slots)[load.workspace];
+    const double got = result.workspaces.at(load.workspace).answered_in_time / time_s *
                        ToSeconds(load.service_time);
     worst = std::min(worst, got / fair);
   }
@@ -145,7 +145,7 @@
   row.load = s.name;
   row.decision = d.name;
   row.offered_per_s = result.Offered() / time_s;
-  row.good_per_s = result.Good() / time_s;
+  row.good_per_s = result.AnsweredInTime() / time_s;
   const auto lookups = result.latency_ms.find("lookup");
   if (lookups != result.latency_ms.end()) {
     row.p50_ms = Percentile(lookups->second, 0.5);
@@ -153,10 +153,10 @@
   }
   row.worst_part = WorstPart(result, s, time_s);
   for (const auto& [id, w] : result.workspaces) {
-    row.refused_per_s += w.refused / time_s;
-    row.late_per_s += w.late / time_s;
+    row.refused_per_s += w.callers_rejected / time_s;
+    row.late_per_s += w.callers_failed / time_s;
   }
-  row.sends_for_good = result.sends / std::max(1.0, result.Good() * 1.0);
+  row.sends_for_good = result.sends / std::max(1.0, result.AnsweredInTime() * 1.0);
   row.sheds = result.sheds;
   row.crashes = result.crashes;
   return row;
@@ -229,7 +229,7 @@
   reports.request_class = "report";
   reports.long_running = true;
   reports.service_time = seconds(4);
-  reports.patience = seconds(30);
+  reports.request_timeout = seconds(30);
   reports.rate_per_s = 4;
   s.callers.push_back(reports);
   s.time = seconds(90);
@@ -256,7 +256,7 @@
     load.burst_factor = 5;
     load.burst_from = seconds(10);
     load.burst_to = seconds(30);
-    load.asks = asks;
+    load.max_attempts = asks;
     load.ask_again = milliseconds(asks > 1 ? 100 : 0);
   }
   s.time = seconds(50);
@@ -300,7 +300,7 @@
   s.callers = LookupLoads(0.4 * kCapacityPerS, seconds(2));
   simulated_load killer = s.callers.back();
   killer.workspace = workspace_id("killer");
-  killer.crashes = true;
+  killer.crashes_upstream = true;
   killer.rate_per_s = 0.5;
   s.callers.push_back(killer);
   return Compare(
