--- a/include/citron/protocol/loan_book.h
+++ b/include/citron/protocol/loan_book.h
@@ -17,30 +17,30 @@
 
 namespace citron {
 
-// A loan is a part of a contract, not an absolute rate: a borrower that learns
-// of a lowered contract lowers what it borrowed at once. One pair of entries
-// has one loan for each workspace at most. Numbers grow with each ask or
-// return of a borrower; a message with an old number does nothing.
+// A loan is a share of a contract, not an absolute rate: a borrower that learns
+// of a lowered contract lowers its loans at once. Two entries have at most one
+// loan in each direction for each workspace. Numbers grow with each request or
+// return of a borrower; a message with an old number has no effect.
 
-// Asks a lender for `ppb` in all, what it has lent already included.
+// Requests a total of `ppb` from a lender, including what it has lent already.
 struct loan_ask {
   workspace_id workspace;
   std::uint64_t number = 0;
   std::int64_t ppb = 0;
-  double tokens = 0;             // Wanted besides; they aren't given back.
-  std::int64_t duration_ms = 0;  // Counted from when the borrower asked.
+  double tokens = 0;             // Requested as well; never returned.
+  std::int64_t duration_ms = 0;  // Counted from the request.
 };
 
-// The answer; 0 when the lender has nothing to spare.
+// The reply to a loan_ask; `ppb` is 0 when the lender has nothing to spare.
 struct loan_grant {
   workspace_id workspace;
-  std::uint64_t number = 0;  // Of the ask.
-  std::int64_t ppb = 0;      // Lent in all.
-  double tokens = 0;         // Handed over with this grant.
+  std::uint64_t number = 0;  // Of the request.
+  std::int64_t ppb = 0;      // Total lent.
+  double tokens = 0;         // Moved to the borrower by this grant.
   std::int64_t duration_ms = 0;
 };
 
-// The borrower gives back all but `kept_ppb`.
+// Returns all of a loan but `kept_ppb`.
 struct loan_return {
   workspace_id workspace;
   std::uint64_t number = 0;
@@ -66,43 +66,46 @@
 
 struct loan_settings {
   duration loan = std::chrono::seconds(2);
-  // What clocks of two VMs may drift apart during one loan.
+  // The most by which the clocks of two VMs drift apart during one loan.
   duration margin = std::chrono::milliseconds(100);
-  // How often the driver calls OnTimer.
+  // The interval at which the driver calls OnTimer.
   duration tick = std::chrono::milliseconds(50);
-  // Time constants of the smoothed demand; see loan_book::Measure.
+  // Time constants of the smoothed demand; see loan_book::UpdateDemand.
   duration fast_smoothing = std::chrono::milliseconds(200);
   duration slow_smoothing = std::chrono::seconds(2);
   duration ask_timeout = std::chrono::milliseconds(300);
-  // How long a lender that had nothing to spare isn't asked again.
+  // The first pause before a lender that granted less than requested gets
+  // another request.
   duration refused_pause = std::chrono::milliseconds(50);
-  int max_lenders = 16;  // Asked at once for one workspace.
-  // Part of its own share that a lender without demand keeps.
+  int max_lenders = 16;  // Of one workspace at one time.
+  // The share of its own part of the contract that a lender without demand
+  // keeps.
   std::int64_t keep_ppm = 20'000;
 
-  // After this long nothing that was lent is in use any more.
+  // The time after which no loan of an earlier moment is in use any more.
   duration SettleTime() const { return loan + 2 * margin; }
 };
 
-// Borrows and lends parts of contracts between entries, to follow demand
-// within a second and without the store. One for each event loop, over the
-// loop's admission. Messages may be lost, repeated and reordered; the wire must
-// tell the sender truly, and must drop what is meant for another incarnation.
+// Borrows and lends shares of contracts between entries, so that they follow
+// demand within a second and without the store. Each event loop has one, over
+// its admission. Messages may be lost, repeated and reordered; the transport
+// must report the true sender and drop messages for another incarnation.
 class loan_book {
  public:
   loan_book(entry_ref self, admission& limits, const loan_settings& settings,
             std::uint64_t seed);
 
-  // Entries that may lend, nearest first, without this one; some dozens at
-  // most, as each timer goes over them.
+  // Sets the entries that may lend, nearest first, without this one. Each timer
+  // goes over all of them, so there should be some dozens at most.
   void SetPeers(std::vector<entry_ref> peers);
 
-  // Where small workspaces have their home: it borrows all of them, the other
-  // entries borrow nothing. Must outlive the book; null for none.
+  // Sets the homes of small workspaces: a home borrows all tokens of its
+  // workspaces, and the other entries borrow none of them. `homes` must outlive
+  // the book; null for none.
   void SetHomes(const token_home* homes) { homes_ = homes; }
 
   loan_actions OnTimer(monotonic_time now);
-  // A request was refused: asks without waiting for the timer.
+  // Called when a request is rejected: borrows without waiting for the timer.
   loan_actions OnDemand(const workspace_id& workspace, monotonic_time now);
   loan_actions OnLoanAsk(const entry_ref& from, const loan_ask& ask,
                          monotonic_time now);
@@ -110,11 +113,12 @@
                    monotonic_time now);
   void OnLoanReturn(const entry_ref& from, const loan_return& returned,
                     monotonic_time now);
-  // A graceful leave: gives back all that was borrowed and lends no more.
+  // Called on a graceful leave: returns all loans and ends lending.
   loan_actions OnRelease(monotonic_time now);
 
-  // Whether tokens of other entries may be on their way, or may be asked for:
-  // false when everybody has just said that there is nothing to spare.
+  // Returns whether tokens of other entries are pending or can be requested;
+  // false while all peers have recently replied that they have nothing to
+  // spare.
   bool MayBorrow(const workspace_id& workspace, monotonic_time now) const;
 
   // For status pages and tests.
@@ -130,19 +134,19 @@
     std::uint64_t number = 0;  // Of the last grant applied or return sent.
     std::int64_t ppb = 0;
     monotonic_time until{};
-    // The ask that is out.
-    std::uint64_t asked_number = 0;
-    monotonic_time asked_at{};
-    duration asked_duration{};
-    std::int64_t asked_ppb = 0;
-    double asked_tokens = 0;
-    monotonic_time ask_again_at{};
-    int refusals = 0;  // In a row.
+    // The pending request to the lender.
+    std::uint64_t request_number = 0;
+    monotonic_time requested_at{};
+    duration requested_duration{};
+    std::int64_t requested_ppb = 0;
+    double requested_tokens = 0;
+    monotonic_time next_request_at{};
+    int refusals = 0;  // Consecutive.
   };
 
   struct lent_loan {
     std::uint64_t part_id = 0;
-    std::uint64_t number = 0;  // The highest seen.
+    std::uint64_t number = 0;  // The highest received.
     std::int64_t ppb = 0;
     monotonic_time until{};
   };
@@ -150,37 +154,38 @@
   struct demand {
     std::uint64_t counted_arrivals = 0;
     double fast_per_s = 0;
-    double per_s = 0;
+    double slow_per_s = 0;
     monotonic_time counted_at{};
-    // When the counts last grew, and the demand then.
+    // The time at which the count last grew, and the demand then.
     monotonic_time arrived_at{};
     double per_s_at_arrival = 0;
   };
 
   home_role RoleOf(const workspace_id& workspace) const;
-  void Forget(monotonic_time now);
-  void Measure(const workspace_id& workspace, workspace_limit& limit,
-               monotonic_time now);
+  void DropOldRecords(monotonic_time now);
+  void UpdateDemand(const workspace_id& workspace, workspace_limit& limit,
+                    monotonic_time now);
   std::int64_t WantedPpb(const workspace_id& workspace,
                          const token_bucket& bucket) const;
-  bool Concedes(const workspace_id& workspace, const token_bucket& bucket,
-                const entry_ref& other) const;
+  bool YieldsShareTo(const workspace_id& workspace, const token_bucket& bucket,
+                     const entry_ref& other) const;
   std::int64_t SparePpb(const workspace_id& workspace,
                         const token_bucket& bucket, const entry_ref& borrower,
                         monotonic_time now, monotonic_time until) const;
-  void Balance(const workspace_id& workspace, workspace_limit& limit,
-               monotonic_time now, loan_actions& actions);
+  void AdjustLoans(const workspace_id& workspace, workspace_limit& limit,
+                   monotonic_time now, loan_actions& actions);
   double MissingTokens(const workspace_id& workspace,
                        const token_bucket& bucket) const;
   double SpareTokens(const workspace_id& workspace,
                      const token_bucket& bucket) const;
-  bool MayAsk(const workspace_id& workspace, const entry_ref& lender,
-              monotonic_time now) const;
-  struct arriving {
+  bool MayRequestFrom(const workspace_id& workspace, const entry_ref& lender,
+                      monotonic_time now) const;
+  struct pending_loans {
     std::int64_t ppb = 0;
     double tokens = 0;
   };
-  arriving Arriving(const workspace_id& workspace, monotonic_time now) const;
+  pending_loans PendingLoans(const workspace_id& workspace,
+                             monotonic_time now) const;
   void Borrow(const workspace_id& workspace, std::int64_t missing_ppb,
               double missing_tokens, monotonic_time now, loan_actions& actions);
   void BorrowTokens(const workspace_id& workspace, double missing_tokens,
@@ -190,10 +195,10 @@
   void GiveBack(const workspace_id& workspace, workspace_limit& limit,
                 std::int64_t excess_ppb, monotonic_time now,
                 loan_actions& actions);
-  // `more_ppb` beyond what the lender has lent already.
-  void Ask(const workspace_id& workspace, const entry_ref& lender,
-           std::int64_t more_ppb, double tokens, monotonic_time now,
-           loan_actions& actions);
+  // Requests `more_ppb` beyond what the lender has lent already.
+  void RequestLoan(const workspace_id& workspace, const entry_ref& lender,
+                   std::int64_t more_ppb, double tokens, monotonic_time now,
+                   loan_actions& actions);
 
   const entry_ref self_;
   admission& limits_;
@@ -206,7 +211,7 @@
   std::map<peer_key, lent_loan> lent_;
   std::uint64_t next_number_ = 1;
   std::uint64_t next_part_id_;
-  monotonic_time forget_at_{};
+  monotonic_time next_cleanup_at_{};
   bool released_ = false;
 };
 
--- a/tests/protocol/loan_book_test.cc
+++ b/tests/protocol/loan_book_test.cc
@@ -27,16 +27,16 @@
 monotonic_time After(double seconds) { return kStart + FromSeconds(seconds); }
 
 // One of two entries that have half of a workspace each.
-struct half {
-  explicit half(const entry_ref& self, double leased_seconds = 1000)
+struct half_share_entry {
+  explicit half_share_entry(const entry_ref& self, double leased_seconds = 1000)
       : limits(kStart), book(self, limits, loan_settings{}, 1) {
     limits.SetShare({250'000, 250'000, After(leased_seconds), After(1e5), 1}, 1,
                     kStart);
     limits.SetContract(kShop, kRate, kRate, kStart);
   }
 
-  // Requests for a while, with the timer; the last actions.
-  loan_actions Ask(double from, double seconds, double per_s) {
+  // Sends requests for `seconds`, with the timer; returns the last actions.
+  loan_actions SendRequests(double from, double seconds, double per_s) {
     loan_actions last;
     for (double t = from; t < from + seconds; t += 0.05) {
       for (int i = 0; i < per_s * 0.05; ++i) limits.Admit(kShop, After(t));
@@ -55,54 +55,54 @@
   loan_book book;
 };
 
-loan_ask AskFor(std::uint64_t number, std::int64_t ppb) {
+loan_ask MakeLoanAsk(std::uint64_t number, std::int64_t ppb) {
   return {kShop, number, ppb, 0, 2000};
 }
 
-loan_grant GrantOf(const loan_actions& actions) {
+loan_grant OnlyGrant(const loan_actions& actions) {
   BOOST_REQUIRE(actions.size() == 1);
   return std::get<citron::send_loan_grant>(actions.front()).message;
 }
 
-// The first ask among the actions.
-loan_ask AskOf(const loan_actions& actions) {
+// Returns the first action, which must be a loan request.
+loan_ask FirstLoanAsk(const loan_actions& actions) {
   BOOST_REQUIRE(!actions.empty());
   return std::get<citron::send_loan_ask>(actions.front()).message;
 }
 
 }  // namespace
 
-// All callers of a workspace are in one zone this morning. Their entry must
-// ask before it refuses them.
-BOOST_AUTO_TEST_CASE(BusyEntryAsksBeforeItsTokensAreGone) {
-  half one(kOne);
+// All callers of a workspace are in one zone. Their entry must borrow before it
+// refuses them.
+BOOST_AUTO_TEST_CASE(BusyEntryBorrowsBeforeItsTokensRunOut) {
+  half_share_entry one(kOne);
   one.book.SetPeers({kTwo});
-  const loan_ask ask = AskOf(one.Ask(2, 1.3, 800));
+  const loan_ask ask = FirstLoanAsk(one.SendRequests(2, 1.3, 800));
   BOOST_TEST(ask.ppb > kWholePpb / 5);
   BOOST_TEST(one.limits.Find(kShop)->refusals == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(LoanMovesAPartAndItsTokens) {
-  half lender(kTwo);
-  const loan_grant grant =
-      GrantOf(lender.book.OnLoanAsk(kOne, AskFor(1, kWholePpb / 4), After(2)));
+BOOST_AUTO_TEST_CASE(LoanMovesShareAndItsTokens) {
+  half_share_entry lender(kTwo);
+  const loan_grant grant = OnlyGrant(
+      lender.book.OnLoanAsk(kOne, MakeLoanAsk(1, kWholePpb / 4), After(2)));
   BOOST_TEST(grant.ppb == kWholePpb / 4);
   BOOST_TEST(grant.tokens == 250.0, boost::test_tools::tolerance(1e-6));
   BOOST_TEST(lender.Ppb(2) == kWholePpb / 4);
-  // Until the end that the borrower counts, and the margin.
+  // Lent until the end that the borrower counts, plus the margin.
   BOOST_TEST(lender.Ppb(4.05) == kWholePpb / 4);
   BOOST_TEST(lender.Ppb(4.2) == kWholePpb / 2);
 }
 
-// The network repeats a message, or an old one comes late. A second loan for
-// one ask would be lost to the lender; a second grant would be used twice.
-BOOST_AUTO_TEST_CASE(RepeatsDoNothing) {
-  half lender(kTwo);
-  half borrower(kOne);
+// The network repeats a message or delivers an old one late. A second loan for
+// one request would be lost to the lender; a second grant would be used twice.
+BOOST_AUTO_TEST_CASE(RepeatedMessagesHaveNoEffect) {
+  half_share_entry lender(kTwo);
+  half_share_entry borrower(kOne);
   borrower.book.SetPeers({kTwo});
-  const loan_ask ask = AskOf(borrower.Ask(2, 1.3, 800));
+  const loan_ask ask = FirstLoanAsk(borrower.SendRequests(2, 1.3, 800));
   const loan_grant grant =
-      GrantOf(lender.book.OnLoanAsk(kOne, ask, After(3.3)));
+      OnlyGrant(lender.book.OnLoanAsk(kOne, ask, After(3.3)));
   BOOST_TEST(lender.book.OnLoanAsk(kOne, ask, After(3.31)).empty());
   borrower.book.OnLoanGrant(kTwo, grant, After(3.32));
   const double tokens = borrower.limits.Find(kShop)->bucket.Tokens();
@@ -111,58 +111,59 @@
   BOOST_TEST(borrower.Ppb(3.32) + lender.Ppb(3.32) == kWholePpb);
 }
 
-// A grant was under way for longer than the loan lasts. Used now, it would
-// count what the lender uses again.
-BOOST_AUTO_TEST_CASE(LoanCountsFromTheAsk) {
-  half borrower(kOne);
+// A grant is in flight for longer than the loan lasts. The borrower would use a
+// share that the lender uses again.
+BOOST_AUTO_TEST_CASE(LoanTimeCountsFromTheRequest) {
+  half_share_entry borrower(kOne);
   borrower.book.SetPeers({kTwo});
-  const loan_ask ask = AskOf(borrower.Ask(2, 1.3, 800));
+  const loan_ask ask = FirstLoanAsk(borrower.SendRequests(2, 1.3, 800));
   const loan_grant grant{kShop, ask.number, ask.ppb, 0, 2000};
   borrower.book.OnLoanGrant(kTwo, grant, After(5.4));
   BOOST_TEST(borrower.Ppb(5.4) == kWholePpb / 2);
 }
 
 // The lender's lease is about to end and may go to another VM.
-BOOST_AUTO_TEST_CASE(LeasedPartIsNotLentBeyondItsLease) {
-  half lender(kTwo, 3);
-  const loan_grant grant =
-      GrantOf(lender.book.OnLoanAsk(kOne, AskFor(1, kWholePpb), After(2)));
+BOOST_AUTO_TEST_CASE(LeasedShareIsNotLentBeyondItsLease) {
+  half_share_entry lender(kTwo, 3);
+  const loan_grant grant = OnlyGrant(
+      lender.book.OnLoanAsk(kOne, MakeLoanAsk(1, kWholePpb), After(2)));
   BOOST_TEST(grant.ppb <= kWholePpb / 4);
   BOOST_TEST(grant.ppb > kWholePpb / 5);
-  const loan_grant again = GrantOf(lender.book.OnLoanAsk(
-      {vm_id("three"), 0, 1}, AskFor(1, kWholePpb), After(2)));
+  const loan_grant again = OnlyGrant(lender.book.OnLoanAsk(
+      {vm_id("three"), 0, 1}, MakeLoanAsk(1, kWholePpb), After(2)));
   BOOST_TEST(again.ppb == 0);
 }
 
 BOOST_AUTO_TEST_CASE(BusyLenderKeepsWhatItNeeds) {
-  half lender(kTwo);
-  lender.Ask(2, 3, 520);
-  const loan_grant grant =
-      GrantOf(lender.book.OnLoanAsk(kOne, AskFor(1, kWholePpb), After(5)));
+  half_share_entry lender(kTwo);
+  lender.SendRequests(2, 3, 520);
+  const loan_grant grant = OnlyGrant(
+      lender.book.OnLoanAsk(kOne, MakeLoanAsk(1, kWholePpb), After(5)));
   BOOST_TEST(grant.ppb == 0);
 }
 
-// The callers come back to the zone that lent its part. They would be refused
-// there for as long as the other zone goes on borrowing.
-BOOST_AUTO_TEST_CASE(LenderInNeedDoesNotExtend) {
-  half lender(kTwo);
-  GrantOf(lender.book.OnLoanAsk(kOne, AskFor(1, kWholePpb / 4), After(2)));
-  lender.Ask(2, 1, 520);
-  const loan_grant again =
-      GrantOf(lender.book.OnLoanAsk(kOne, AskFor(2, kWholePpb / 4), After(3)));
+// The callers return to the zone that lent its share. They would be refused
+// there for as long as the other zone went on borrowing.
+BOOST_AUTO_TEST_CASE(LenderThatNeedsItsShareDoesNotExtend) {
+  half_share_entry lender(kTwo);
+  OnlyGrant(
+      lender.book.OnLoanAsk(kOne, MakeLoanAsk(1, kWholePpb / 4), After(2)));
+  lender.SendRequests(2, 1, 520);
+  const loan_grant again = OnlyGrant(
+      lender.book.OnLoanAsk(kOne, MakeLoanAsk(2, kWholePpb / 4), After(3)));
   BOOST_TEST(again.ppb == 0);
   BOOST_TEST(lender.Ppb(4.2) == kWholePpb / 2);
 }
 
 // Demand has moved on. The lender's zone has the callers again and needs the
-// part now, not when the loan ends.
-BOOST_AUTO_TEST_CASE(UnusedLoanGoesBackAtOnce) {
-  half lender(kTwo);
-  half borrower(kOne);
+// share now, not when the loan ends.
+BOOST_AUTO_TEST_CASE(UnusedLoanIsReturnedAtOnce) {
+  half_share_entry lender(kTwo);
+  half_share_entry borrower(kOne);
   borrower.book.SetPeers({kTwo});
-  const loan_ask ask = AskOf(borrower.Ask(2, 1.3, 800));
+  const loan_ask ask = FirstLoanAsk(borrower.SendRequests(2, 1.3, 800));
   const loan_grant grant =
-      GrantOf(lender.book.OnLoanAsk(kOne, ask, After(3.3)));
+      OnlyGrant(lender.book.OnLoanAsk(kOne, ask, After(3.3)));
   borrower.book.OnLoanGrant(kTwo, grant, After(3.32));
   loan_return last;
   for (double t = 3.35; t < 4.3; t += 0.05) {
@@ -176,32 +177,32 @@
   }
   BOOST_TEST(lender.Ppb(4.3) == kWholePpb / 2);
   BOOST_TEST(borrower.book.BorrowedPpb(kShop, After(4.3)) == 0);
-  // A repeat of the return, after a new loan, ends nothing.
-  GrantOf(lender.book.OnLoanAsk(kOne, AskFor(last.number + 1, kWholePpb / 4),
-                                After(4.4)));
+  // A repeated return, after a new loan, ends nothing.
+  OnlyGrant(lender.book.OnLoanAsk(
+      kOne, MakeLoanAsk(last.number + 1, kWholePpb / 4), After(4.4)));
   lender.book.OnLoanReturn(kOne, last, After(4.5));
   BOOST_TEST(lender.Ppb(4.5) == kWholePpb / 4);
 }
 
-// A workspace of ten tokens over ten entries: parts below one token admit
+// A workspace has fewer tokens than entries: shares below one token admit
 // nothing, so some entry must get several of them.
-BOOST_AUTO_TEST_CASE(UselessPartsAreConcededOneWay) {
-  half one(kOne);
-  half two(kTwo);
+BOOST_AUTO_TEST_CASE(SharesBelowOneTokenAreYieldedInOneDirection) {
+  half_share_entry one(kOne);
+  half_share_entry two(kTwo);
   one.limits.SetContract(kShop, 1, 1.5, kStart);
   two.limits.SetContract(kShop, 1, 1.5, kStart);
-  one.Ask(2, 0.2, 20);
-  two.Ask(2, 0.2, 20);
-  const loan_grant by_two =
-      GrantOf(two.book.OnLoanAsk(kOne, AskFor(100, kWholePpb), After(2.3)));
-  const loan_grant by_one =
-      GrantOf(one.book.OnLoanAsk(kTwo, AskFor(100, kWholePpb), After(2.3)));
+  one.SendRequests(2, 0.2, 20);
+  two.SendRequests(2, 0.2, 20);
+  const loan_grant by_two = OnlyGrant(
+      two.book.OnLoanAsk(kOne, MakeLoanAsk(100, kWholePpb), After(2.3)));
+  const loan_grant by_one = OnlyGrant(
+      one.book.OnLoanAsk(kTwo, MakeLoanAsk(100, kWholePpb), After(2.3)));
   BOOST_TEST(std::min(by_one.ppb, by_two.ppb) == 0);
   BOOST_TEST(std::max(by_one.ppb, by_two.ppb) == kWholePpb / 2);
 }
 
-BOOST_AUTO_TEST_CASE(HostileMessagesDoNothing) {
-  half lender(kTwo);
+BOOST_AUTO_TEST_CASE(HostileMessagesHaveNoEffect) {
+  half_share_entry lender(kTwo);
   const loan_ask bad[] = {
       {workspace_id("none"), 1, kWholePpb, 0, 2000},
       {kShop, 1, kWholePpb, 0, -1},
@@ -213,21 +214,21 @@
   lender.book.OnLoanGrant(kOne, {kShop, 1, kWholePpb, 1e9, 2000}, After(2));
   lender.book.OnLoanReturn(kOne, {kShop, 1, -kWholePpb, 1e9}, After(2));
   BOOST_TEST(lender.Ppb(2) == kWholePpb / 2);
-  GrantOf(lender.book.OnLoanAsk(kOne, AskFor(1, -kWholePpb), After(2)));
+  OnlyGrant(lender.book.OnLoanAsk(kOne, MakeLoanAsk(1, -kWholePpb), After(2)));
   BOOST_TEST(lender.Ppb(2) == kWholePpb / 2);
 }
 
-// A VM leaves for good and gives back what it borrowed.
-BOOST_AUTO_TEST_CASE(LeavingEntryGivesBackAndLendsNoMore) {
-  half leaving(kOne);
+// A VM leaves for good and returns what it borrowed.
+BOOST_AUTO_TEST_CASE(LeavingEntryReturnsLoansAndLendsNoMore) {
+  half_share_entry leaving(kOne);
   leaving.book.SetPeers({kTwo});
-  const loan_ask ask = AskOf(leaving.Ask(2, 1.3, 800));
+  const loan_ask ask = FirstLoanAsk(leaving.SendRequests(2, 1.3, 800));
   leaving.book.OnLoanGrant(kTwo, {kShop, ask.number, kWholePpb / 4, 0, 2000},
                            After(3.3));
   const loan_actions actions = leaving.book.OnRelease(After(3.4));
   BOOST_REQUIRE(actions.size() == 1);
   BOOST_TEST(std::get<citron::send_loan_return>(actions[0]).message.kept_ppb ==
              0);
-  BOOST_TEST(
-      leaving.book.OnLoanAsk(kTwo, AskFor(1, kWholePpb), After(3)).empty());
+  BOOST_TEST(leaving.book.OnLoanAsk(kTwo, MakeLoanAsk(1, kWholePpb), After(3))
+                 .empty());
 }
