--- a/include/citron/protocol/admission.h
+++ b/include/citron/protocol/admission.h
@@ -24,23 +24,24 @@
 // One workspace's limit at one event loop of an entry.
 struct workspace_limit {
   token_bucket bucket;
-  std::uint64_t arrivals = 0;  // Requests seen, admitted or not.
+  std::uint64_t arrivals = 0;  // Admitted or not.
   std::uint64_t refusals = 0;
-  // The contract was withdrawn; kept while parts of it are lent.
+  // The contract was withdrawn; the limit stays while shares of it are lent.
   bool is_withdrawn = false;
 };
 
-// Admits requests under this loop's part of each workspace's contract. One for
-// each event loop; not for use by several threads.
+// Admits requests under this loop's share of each workspace's contract. Each
+// event loop has one; not thread-safe.
 class admission {
  public:
-  // `share_starts_at`: the loop's own share counts from then on. An entry that
-  // restarted doesn't know what its predecessor lent, so it is the start plus
-  // the longest loan with its margin (loan_settings::SettleTime).
+  // The loop's own share counts from `share_starts_at`. A restarted entry
+  // doesn't know the loans of its predecessor, so this is the start plus the
+  // longest loan with its margin (loan_settings::SettleTime).
   explicit admission(monotonic_time share_starts_at);
 
-  // The VM's share, of which this loop has one of `divisor` equal parts. The
-  // divisor may fall only loan_settings::SettleTime after a loop has gone.
+  // Sets the VM's share, of which this loop has one of `divisor` equal parts.
+  // The divisor may fall only loan_settings::SettleTime after a loop has
+  // stopped.
   void SetShare(const vm_share& share, int divisor, monotonic_time now);
   void SetContract(const workspace_id& workspace, double rate_per_s,
                    double burst, monotonic_time now);
@@ -54,10 +55,11 @@
   std::unordered_map<workspace_id, workspace_limit>& Limits() {
     return limits_;
   }
-  // The loop's own part, without loans, that it has from now until `until`.
+  // Returns the loop's own share, without loans, that lasts from `now` to
+  // `until`.
   std::int64_t OwnPpbUntil(monotonic_time now, monotonic_time until) const;
 
-  // Of the loop's own part, begun or not; 0 before a share was granted.
+  // Returns the loop's own share, begun or not; 0 before a share was granted.
   std::int64_t GrantedPpb() const;
 
  private:
--- a/src/protocol/admission.cc
+++ b/src/protocol/admission.cc
@@ -7,15 +7,15 @@
 
 namespace {
 
-// Ids of the bucket parts that are the loop's own; loans have others.
+// Ids of the bucket parts for the loop's own share; loans have other ids.
 constexpr std::uint64_t kFloorPart = 1;
 constexpr std::uint64_t kLeasedPart = 2;
 constexpr std::uint64_t kNotYetStartedPart = 3;
 
 constexpr std::int64_t kPpbOfPpm = kWholePpb / kWholePpm;
 
-// Told to callers whose workspace has nothing here now and nothing in sight:
-// about the time in which a loan or a renewed share arrives.
+// The retry time for a workspace without any token here now or in sight: about
+// the time in which a loan or a renewed share arrives.
 constexpr duration kRetryWithoutShare = std::chrono::seconds(1);
 
 bool HasLoans(const token_bucket& bucket) {
@@ -24,7 +24,7 @@
       [](const bucket_part& part) { return part.id > kNotYetStartedPart; });
 }
 
-// Rounds down, so that the parts of all loops are never more than the share.
+// Rounds down, so that the shares of all loops never exceed the VM's share.
 std::int64_t PpbOf(int ppm, int divisor) { return ppm * kPpbOfPpm / divisor; }
 
 }  // namespace
@@ -53,9 +53,9 @@
   }
 }
 
-// The bucket stays until its loans have ended. If it went at once, a contract
-// that is withdrawn and granted again would find the whole share here, while
-// the borrowers still use their parts of it.
+// The bucket stays until its loans have ended. If it were dropped at once, a
+// contract that is withdrawn and granted again would find the whole share here,
+// while the borrowers still use their shares of it.
 void admission::RemoveContract(const workspace_id& workspace,
                                monotonic_time now) {
   workspace_limit* limit = Find(workspace);
@@ -69,10 +69,10 @@
   });
 }
 
-// Answers a workspace, or all of its callers, sending several times its rate:
-// without a refusal here its requests would fill the queues of the upstreams
-// and the other workspaces would wait behind them. A refusal costs one look-up
-// and is answered at once with the time at which a token will be there.
+// Handles a workspace, or all of its callers, sending several times its rate:
+// without a rejection here its requests would fill the queues of the upstreams,
+// and the other workspaces would wait behind them. A rejection costs one
+// look-up and is answered at once with the time of the next token.
 admit_result admission::Admit(const workspace_id& workspace,
                               monotonic_time now) {
   const auto found = limits_.find(workspace);
@@ -113,7 +113,7 @@
 void admission::ApplyShare(token_bucket& bucket, monotonic_time now) const {
   const std::int64_t floor = PpbOf(share_.floor_ppm, divisor_);
   const std::int64_t leased = PpbOf(share_.leased_ppm, divisor_);
-  // First the part that takes away, so that no moment has the share too early.
+  // The negative part comes first, so that the share never counts too early.
   bucket.SetPart({kNotYetStartedPart, -(floor + leased), share_starts_at_},
                  now);
   bucket.SetPart({kFloorPart, floor, share_.floor_until}, now);
--- a/tests/protocol/admission_test.cc
+++ b/tests/protocol/admission_test.cc
@@ -22,7 +22,7 @@
   return {floor_ppm, leased_ppm, After(leased_seconds), After(10'000), 1};
 }
 
-int AdmittedOf(admission& limits, int requests, monotonic_time at) {
+int CountAdmitted(admission& limits, int requests, monotonic_time at) {
   int count = 0;
   for (int i = 0; i < requests; ++i) {
     count += std::holds_alternative<admitted>(limits.Admit(kShop, at));
@@ -38,13 +38,13 @@
     admission limits(kStart);
     limits.SetShare(Share(400'000, 200'000, 1000), 3, kStart);
     limits.SetContract(kShop, 100, 50, kStart);
-    count += AdmittedOf(limits, 1000, After(10));
+    count += CountAdmitted(limits, 1000, After(10));
   }
   BOOST_TEST(count <= 30);
   BOOST_TEST(count >= 27);
 }
 
-BOOST_AUTO_TEST_CASE(RefusalSaysWhenATokenWillBeThere) {
+BOOST_AUTO_TEST_CASE(RefusalGivesTimeOfNextToken) {
   admission limits(kStart);
   limits.SetShare(Share(100'000, 0, 0), 1, kStart);
   limits.SetContract(kShop, 100, 100, kStart);
@@ -52,23 +52,23 @@
   const auto* refused = std::get_if<over_rate>(&answer);
   BOOST_REQUIRE(refused != nullptr);
   const monotonic_time early = refused->retry_at - FromSeconds(0.001);
-  BOOST_TEST(AdmittedOf(limits, 1, early) == 0);
-  BOOST_TEST(AdmittedOf(limits, 1, refused->retry_at) == 1);
+  BOOST_TEST(CountAdmitted(limits, 1, early) == 0);
+  BOOST_TEST(CountAdmitted(limits, 1, refused->retry_at) == 1);
 }
 
-// An entry process restarts within a second and has forgotten what it lent;
-// the borrower still uses it. With its whole share at once the entry would
-// admit the lent part a second time.
+// An entry process restarts within a second and has lost the record of its
+// loans, which the borrower still uses. With its whole share at once the entry
+// would admit the lent share a second time.
 BOOST_AUTO_TEST_CASE(RestartedEntryWaitsUntilOldLoansHaveEnded) {
   admission limits(After(2));
   limits.SetShare(Share(500'000, 500'000, 1000), 1, kStart);
   limits.SetContract(kShop, 100, 100, kStart);
-  BOOST_TEST(AdmittedOf(limits, 100, After(1.9)) == 0);
+  BOOST_TEST(CountAdmitted(limits, 100, After(1.9)) == 0);
   BOOST_TEST(limits.OwnPpbUntil(After(1.9), After(3)) == 0);
-  BOOST_TEST(AdmittedOf(limits, 100, After(2.1)) == 10);
+  BOOST_TEST(CountAdmitted(limits, 100, After(2.1)) == 10);
 }
 
-// An operator withdraws a contract and grants it again while part of it is
+// An operator withdraws a contract and grants it again while a share of it is
 // lent to another entry.
 BOOST_AUTO_TEST_CASE(WithdrawnContractKeepsItsLoans) {
   admission limits(kStart);
@@ -85,14 +85,15 @@
   BOOST_TEST((limits.Find(kShop) == nullptr));
 }
 
-// The store is away; the leased part ends and the floor goes on serving.
+// The store is unreachable; the leased share ends and the floor goes on
+// serving.
 BOOST_AUTO_TEST_CASE(FloorOutlivesTheLease) {
   admission limits(kStart);
   limits.SetShare(Share(200'000, 300'000, 9), 1, kStart);
   limits.SetContract(kShop, 100, 100, kStart);
-  BOOST_TEST(AdmittedOf(limits, 100, After(8.9)) == 50);
-  AdmittedOf(limits, 100, After(9));
-  BOOST_TEST(AdmittedOf(limits, 100, After(10)) == 20);
+  BOOST_TEST(CountAdmitted(limits, 100, After(8.9)) == 50);
+  CountAdmitted(limits, 100, After(9));
+  BOOST_TEST(CountAdmitted(limits, 100, After(10)) == 20);
   BOOST_TEST(limits.OwnPpbUntil(After(8), After(8.9)) == 500'000'000);
   BOOST_TEST(limits.OwnPpbUntil(After(8), After(10)) == 200'000'000);
 }
