--- a/include/citron/protocol/loan_book.h
+++ b/include/citron/protocol/loan_book.h
@@ -78,8 +78,7 @@
   // another request.
   duration refused_pause = std::chrono::milliseconds(50);
   int max_lenders = 16;  // Of one workspace at one time.
-  // The share of its own part of the contract that a lender without demand
-  // keeps.
+  // The fraction of its own share that a lender without demand keeps.
   std::int64_t keep_ppm = 20'000;
 
   // The time after which no loan of an earlier moment is in use any more.
--- a/include/citron/protocol/rate_limiter.h
+++ b/include/citron/protocol/rate_limiter.h
@@ -21,12 +21,12 @@
   loan_settings loan;
   token_home_settings home;
   admission_wait_options wait;
-  // For measuring what each of them is worth.
+  // Loans and homes can be switched off, to compare the limits without them.
   bool has_loans = true;
   bool has_homes = true;
 };
 
-// What a workspace's contract allows, over all VMs together.
+// The rate and burst that a workspace may use over all VMs together.
 struct rate_contract {
   double rate_per_s = 0;
   double burst = 0;
@@ -51,32 +51,32 @@
                  send_loan_return, send_token_ask, send_token_grant>;
 using limit_actions = std::vector<limit_action>;
 
-// The limits of all workspaces at one event loop of an entry: its part of each
-// contract, the loans that move parts to where the demand is, the homes of
+// The limits of all workspaces at one event loop of an entry: its share of each
+// contract, the loans that move shares to where the demand is, the homes of
 // small workspaces, and the requests that wait for a token. Messages may be
-// lost, repeated and reordered; the wire must tell the sender truly, and must
-// drop what is meant for another incarnation.
+// lost, repeated and reordered; the transport must report the true sender and
+// drop messages for another incarnation.
 class rate_limiter {
  public:
   rate_limiter(entry_ref self, const rate_limiter_options& options,
                std::uint64_t seed, monotonic_time now);
 
-  // All contracts; a workspace without one is no longer let in.
+  // Sets all contracts; a workspace without one is no longer admitted.
   void SetContracts(const std::map<workspace_id, rate_contract>& contracts,
                     monotonic_time now);
   void SetContract(const workspace_id& workspace, const rate_contract& contract,
                    monotonic_time now);
   // See admission::SetShare.
   void SetShare(const vm_share& share, int divisor, monotonic_time now);
-  // `lenders` nearest first, some dozens at most; `live` as in
-  // token_home::SetLive.
+  // Sets the entries that may lend, nearest first and some dozens at most, and
+  // the live entries as in token_home::SetLive.
   void SetEntries(std::vector<entry_ref> lenders, std::vector<entry_ref> live);
 
-  // Actions concern other requests than this one, and other entries.
+  // Decides on a request. The actions concern other requests and other entries.
   limit_decision OnRequest(const workspace_id& workspace,
                            monotonic_time deadline, monotonic_time now,
                            limit_actions& actions);
-  // The request that waits has gone.
+  // Called when the caller of a waiting request has gone.
   void OnCancel(const workspace_id& workspace, wait_ticket ticket);
 
   limit_actions OnMessage(const entry_ref& from, const loan_ask& ask,
@@ -90,18 +90,19 @@
   limit_actions OnMessage(const entry_ref& from, const token_grant& grant,
                           monotonic_time now);
 
-  // Every loan_settings::tick.
+  // Called every loan_settings::tick.
   limit_actions OnTimer(monotonic_time now);
-  // At NextTokenAt.
+  // Called at NextTokenAt.
   limit_actions OnTokenTime(monotonic_time now);
-  // When somebody who waits may be let in before the next timer.
+  // Returns when a waiting request may be admitted before the next timer.
   std::optional<monotonic_time> NextTokenAt(monotonic_time now) const {
     return waiting_.NextTokenAt(now);
   }
-  // A graceful leave: gives back all that was borrowed and lends no more.
+  // Called on a graceful leave: returns all loans and ends lending.
   limit_actions OnRelease(monotonic_time now);
 
-  // The entry that holds a small workspace's tokens; null for any other.
+  // Returns the entry that holds a small workspace's tokens; null for any other
+  // workspace.
   const entry_ref* HomeOf(const workspace_id& workspace) const;
 
   // For status pages and tests.
@@ -109,13 +110,14 @@
   const admission& Limits() const { return limits_; }
 
  private:
-  limit_decision Seek(const workspace_id& workspace, monotonic_time retry_at,
-                      monotonic_time deadline, monotonic_time now,
-                      limit_actions& actions);
+  limit_decision FindTokenOrWait(const workspace_id& workspace,
+                                 monotonic_time retry_at,
+                                 monotonic_time deadline, monotonic_time now,
+                                 limit_actions& actions);
   bool TakeToken(const workspace_id& workspace, monotonic_time now);
-  void Serve(const workspace_id& workspace, monotonic_time now,
-             limit_actions& actions);
-  void ServeAll(monotonic_time now, limit_actions& actions);
+  void AdmitWaiting(const workspace_id& workspace, monotonic_time now,
+                    limit_actions& actions);
+  void AdmitAllWaiting(monotonic_time now, limit_actions& actions);
   bool MayBorrow(const workspace_id& workspace, monotonic_time now) const;
 
   const rate_limiter_options options_;
@@ -124,7 +126,7 @@
   loan_book loans_;
   admission_wait waiting_;
   std::uint64_t last_ticket_ = 0;
-  monotonic_time own_share_at_;
+  monotonic_time share_starts_at_;
   bool knows_lenders_ = false;
 };
 
--- a/include/citron/protocol/token_bucket.h
+++ b/include/citron/protocol/token_bucket.h
@@ -11,11 +11,11 @@
 
 namespace citron {
 
-// Parts of a contract inside a VM are counted per billion, so that a share can
+// Shares of a contract inside a VM are counted per billion, so that a share can
 // be split among loops and loans without losing much to rounding.
 inline constexpr std::int64_t kWholePpb = 1'000'000'000;
 
-// A part of the contract that a bucket has, or lacks when `ppb` is negative,
+// A share of the contract that a bucket has, or lacks when `ppb` is negative,
 // until a moment by the monotonic clock.
 struct bucket_part {
   std::uint64_t id = 0;
@@ -25,20 +25,21 @@
 
 // A token bucket whose rate and capacity are a fraction of a contract's. The
 // fraction is the sum of parts that end at deadlines. Refilling counts each
-// part only up to its deadline, however late the bucket is looked at, and
-// tokens above the capacity are dropped at the moment the capacity shrinks.
+// part only up to its deadline, however late the bucket is advanced, and tokens
+// above the capacity are dropped at the moment when the capacity shrinks.
 class token_bucket {
  public:
-  // Empty, without parts. `rate_per_s` and `burst` are the whole contract's.
+  // Starts empty and without parts. `rate_per_s` and `burst` are those of the
+  // whole contract.
   token_bucket(double rate_per_s, double burst, monotonic_time now);
 
   void SetContract(double rate_per_s, double burst, monotonic_time now);
   // Adds a part or replaces the one with the same id.
   void SetPart(const bucket_part& part, monotonic_time now);
   void RemovePart(std::uint64_t id, monotonic_time now);
-  // Tokens above the capacity are dropped.
+  // Adds tokens; tokens above the capacity are dropped.
   void AddTokens(double tokens, monotonic_time now);
-  // Takes at most what is there; returns what was taken.
+  // Takes at most the tokens in the bucket; returns the number taken.
   double TakeTokens(double tokens, monotonic_time now);
 
   // Takes one token if there is one.
@@ -49,15 +50,17 @@
     return true;
   }
 
-  // Lowers the capacity until then by tokens that were taken here and may still
-  // be used elsewhere; the rate stays. Rounds up to whole steps of 10 ms.
-  void SetAside(double tokens, monotonic_time until, monotonic_time now);
-  double TokensAside() const { return aside_; }
-  // Of the parts that last until then, without what is set aside.
+  // Lowers the capacity until `until` by tokens that were taken here and may
+  // still be used elsewhere; the rate stays. Rounds `until` up to whole steps
+  // of 10 ms.
+  void ReserveCapacity(double tokens, monotonic_time until, monotonic_time now);
+  double ReservedTokens() const { return reserved_tokens_; }
+  // Returns the capacity of the parts that last until `until`, less the
+  // reserved tokens.
   double CapacityUntil(monotonic_time until) const;
 
-  // When one token will be there, by the parts as they are now, for one who
-  // comes behind `ahead` others that take one each; empty when it never will.
+  // Returns when a token will be there, by the present parts, for a request
+  // behind `ahead` others that take one token each; empty if never.
   std::optional<monotonic_time> NextTokenAt(monotonic_time now,
                                             std::size_t ahead = 0) const;
 
@@ -88,13 +91,13 @@
     tokens_ = std::min(capacity_, tokens_ + rate_ * seconds);
     refilled_at_ = now;
   }
-  struct tokens_aside {
+  struct reservation {
     double tokens = 0;
     monotonic_time until{};
   };
 
   void AdvanceOverChanges(monotonic_time now);
-  void Recount(monotonic_time now);
+  void RecomputeLimits(monotonic_time now);
 
   double contract_rate_;
   double contract_burst_;
@@ -105,8 +108,8 @@
   monotonic_time next_change_ = monotonic_time::max();
   std::int64_t ppb_ = 0;
   std::vector<bucket_part> parts_;
-  double aside_ = 0;
-  std::vector<tokens_aside> set_aside_;
+  double reserved_tokens_ = 0;
+  std::vector<reservation> reservations_;
 };
 
 }  // namespace citron
--- a/include/citron/protocol/token_home.h
+++ b/include/citron/protocol/token_home.h
@@ -17,8 +17,8 @@
 
 namespace citron {
 
-// Asks the workspace's home for one token. Numbers grow with each ask of an
-// entry; a message with an old number does nothing.
+// Requests one token from the workspace's home. Numbers grow with each request
+// of an entry; a message with an old number has no effect.
 struct token_ask {
   workspace_id workspace;
   std::uint64_t number = 0;
@@ -26,7 +26,7 @@
 
 struct token_grant {
   workspace_id workspace;
-  std::uint64_t number = 0;  // Of the ask.
+  std::uint64_t number = 0;  // Of the request.
   bool granted = false;
   std::int64_t retry_ms = 0;  // When refused.
   double burst = 0;           // Of the contract by which it was granted.
@@ -42,69 +42,74 @@
 };
 using token_grants = std::vector<send_token_grant>;
 
-// The workspace is not small here, or this entry is its home, or none is known.
-struct no_home {};
-// Of a request without a local token: let in, to wait for the answer of the
-// home, refused, or none of the home's business.
-using seek_result = std::variant<admitted, send_token_ask, over_rate, no_home>;
+// The workspace is not small here, or this entry is its home, or no home is
+// known.
+struct no_remote_home {};
+// The result for a request without a local token: admitted, waiting for the
+// reply of the home, rejected, or not served by another entry as the home.
+using token_search_result =
+    std::variant<admitted, send_token_ask, over_rate, no_remote_home>;
 
-// The answer meant nothing: repeated, too late, or never asked for.
+// The reply has no effect: repeated, too late, or never requested.
 struct grant_ignored {};
-// A token is kept here for the next that takes it; or the one that asked is to
-// be refused.
+// `admitted`: a token is kept here for the next request that takes it.
+// `over_rate`: the request that needed the token is to be rejected.
 using grant_result = std::variant<admitted, over_rate, grant_ignored>;
 
 struct token_home_settings {
-  // A workspace is small here if the own part holds fewer tokens.
+  // A workspace is small here if this entry's own share holds fewer tokens.
   double small_capacity = 3.5;
-  // A granted token may be used for so long, counted from the ask; the home
-  // counts the same and a margin from its answer.
-  duration usable = std::chrono::milliseconds(200);
+  // The time for which a granted token may be used, counted from the token
+  // request. The home counts the same time plus a margin from its reply.
+  duration token_lifetime = std::chrono::milliseconds(200);
   duration margin = std::chrono::milliseconds(10);
-  // How long the home keeps an ask while loans are on their way to it.
-  duration longest_hold = std::chrono::milliseconds(60);
-  // Of one workspace at one time, asked from here or held here.
-  std::size_t max_asks = 16;
+  // The longest time for which the home holds a token request while loans to
+  // the home are pending.
+  duration max_hold = std::chrono::milliseconds(60);
+  // The most token requests of one workspace that are pending here, and the
+  // most that are held here.
+  std::size_t max_pending_requests = 16;
 };
 
 enum class home_role { kNone, kSelf, kElsewhere };
 
-// One home among the live entries for each workspace whose contract is small
-// against their number: the home holds its tokens, the others ask for them one
-// by one. One for each event loop, over the loop's admission. Messages may be
-// lost, repeated and reordered; the wire must tell the sender truly, and must
-// drop what is meant for another incarnation.
+// Chooses one home among the live entries for each workspace whose contract is
+// small against their number: the home holds its tokens, and the other entries
+// request them one by one. Each event loop has one, over its admission.
+// Messages may be lost, repeated and reordered; the transport must report the
+// true sender and drop messages for another incarnation.
 class token_home {
  public:
   token_home(entry_ref self, const admission& limits,
              const token_home_settings& settings);
 
-  // Entries that seem live, this one included unless it is leaving.
+  // Sets the entries that seem live, with this one unless it is leaving.
   void SetLive(std::vector<entry_ref> live);
 
   home_role RoleOf(const workspace_id& workspace) const;
-  // Null if the workspace is not small here, or no entry is live.
+  // Returns null if the workspace is not small here, or no entry is live.
   const entry_ref* HomeOf(const workspace_id& workspace) const;
 
-  // A request found no local token.
-  seek_result Seek(const workspace_id& workspace, monotonic_time now);
+  // Called when a request finds no local token.
+  token_search_result FindToken(const workspace_id& workspace,
+                                monotonic_time now);
   grant_result OnTokenGrant(const entry_ref& from, const token_grant& grant,
                             monotonic_time now);
-  // A token that came for a request that needs it no more.
-  bool TakeSpare(const workspace_id& workspace, monotonic_time now);
-  // The contract was changed here.
-  void OnContract(const workspace_id& workspace);
+  // Takes a token that came for a request that no longer needs it.
+  bool TakeSpareToken(const workspace_id& workspace, monotonic_time now);
+  // Called when the contract was changed here.
+  void OnContractChanged(const workspace_id& workspace);
 
-  // At the home. `limits` is the loop's admission; `may_borrow`: whether more
-  // tokens may come by loans soon.
+  // Called at the home. `limits` is the loop's admission; `may_borrow` is
+  // whether loans may soon bring more tokens.
   token_grants OnTokenAsk(admission& limits, const entry_ref& from,
                           const token_ask& ask, bool may_borrow,
                           monotonic_time now);
-  // After loans came, and now and then.
-  token_grants ServeHeld(admission& limits, monotonic_time now);
+  // Called when loans have come, and at intervals.
+  token_grants AnswerHeldRequests(admission& limits, monotonic_time now);
 
  private:
-  struct sent_ask {
+  struct sent_request {
     entry_ref to;
     monotonic_time usable_until{};
   };
@@ -112,23 +117,24 @@
     entry_ref home;
     monotonic_time until{};
   };
-  struct held_ask {
+  struct held_request {
     entry_ref from;
     std::uint64_t number = 0;
     monotonic_time give_up_at{};
   };
-  struct asker {
-    std::uint64_t number = 0;  // The highest seen.
+  struct requester {
+    std::uint64_t number = 0;  // The highest received.
     monotonic_time seen_at{};
   };
-  // What this entry asked for and got of one workspace.
-  struct asked_workspace {
-    std::map<std::uint64_t, sent_ask> sent;
+  // The token requests of this entry for one workspace, and the tokens
+  // received.
+  struct workspace_requests {
+    std::map<std::uint64_t, sent_request> sent;
     std::deque<monotonic_time> spare_until;
     std::optional<pause> refused;
   };
 
-  void Forget(monotonic_time now);
+  void DropOldRecords(monotonic_time now);
   bool IsSmall(const workspace_id& workspace) const;
   send_token_grant Grant(token_bucket& bucket, const entry_ref& to,
                          const workspace_id& workspace, std::uint64_t number,
@@ -136,7 +142,7 @@
   send_token_grant Refuse(token_bucket& bucket, const entry_ref& to,
                           const workspace_id& workspace, std::uint64_t number,
                           monotonic_time now) const;
-  bool MayPartWith(token_bucket& bucket, monotonic_time now) const;
+  bool CanGrantToken(token_bucket& bucket, monotonic_time now) const;
 
   struct live_entry {
     entry_ref ref;
@@ -147,13 +153,13 @@
   const admission& limits_;
   const token_home_settings settings_;
   std::vector<live_entry> live_;
-  // Index in live_; worked out when first asked for.
+  // Index in live_, computed at the first use.
   mutable std::map<workspace_id, std::size_t> home_of_;
-  std::map<workspace_id, asked_workspace> asked_;
-  std::map<workspace_id, std::deque<held_ask>> held_;
-  std::map<std::pair<workspace_id, entry_ref>, asker> askers_;
+  std::map<workspace_id, workspace_requests> asked_;
+  std::map<workspace_id, std::deque<held_request>> held_;
+  std::map<std::pair<workspace_id, entry_ref>, requester> requesters_;
   std::uint64_t next_number_ = 1;
-  monotonic_time forget_at_{};
+  monotonic_time next_cleanup_at_{};
 };
 
 }  // namespace citron
--- a/src/protocol/loan_book.cc
+++ b/src/protocol/loan_book.cc
@@ -33,7 +33,7 @@
 constexpr double kLowTokenSeconds = 0.3;
 constexpr double kTargetTokenSeconds = 1.0;
 constexpr double kLowTokens = 1.5;
-constexpr double kMinRequestedTokens = 0.25;
+constexpr double kMinLoanTokens = 0.25;
 
 // Doublings of the pause after consecutive refusals. With five, the callers of
 // an overload would cost half the messages, but demand that moves with 0.9 of
@@ -57,12 +57,12 @@
 constexpr double kMinCapacityTokens = 2.0;
 
 // Loans are returned when the share exceeds the wanted one by this factor;
-// below it nothing moves, so that noise causes no messages.
+// between the two nothing moves, so that noise causes no messages.
 constexpr double kReturnThreshold = 1.3;
 
 // The shortest time between two updates of the demand, as refusals may come by
 // the thousand.
-constexpr duration kMinDemandUpdateInterval = std::chrono::milliseconds(10);
+constexpr duration kMinUpdateInterval = std::chrono::milliseconds(10);
 
 // A smaller share isn't worth a message.
 constexpr std::int64_t kMinLoanPpb = kWholePpb / 10'000;
@@ -143,8 +143,7 @@
   loan_actions actions;
   workspace_limit* limit = limits_.Find(workspace);
   if (limit == nullptr || released_) return actions;
-  if (now < demands_[workspace].counted_at + kMinDemandUpdateInterval)
-    return actions;
+  if (now < demands_[workspace].counted_at + kMinUpdateInterval) return actions;
   UpdateDemand(workspace, *limit, now);
   AdjustLoans(workspace, *limit, now, actions);
   return actions;
@@ -213,7 +212,7 @@
   loan.request_number = 0;
   const bool is_refused =
       grant.ppb < loan.requested_ppb ||
-      (grant.ppb <= loan.ppb && grant.tokens < kMinRequestedTokens);
+      (grant.ppb <= loan.ppb && grant.tokens < kMinLoanTokens);
   const int max_doublings = RoleOf(grant.workspace) == home_role::kSelf
                                 ? kMaxBackoffDoublingsAtHome
                                 : kMaxBackoffDoublings;
@@ -400,7 +399,7 @@
   if (free <= 0) return free;
   // The capacity of tokens that were granted to other entries stays here until
   // those tokens are used.
-  if (bucket.TokensAside() > 0) return 0;
+  if (bucket.ReservedTokens() > 0) return 0;
   if (RoleOf(workspace) == home_role::kElsewhere) return free;
   if (YieldsShareTo(workspace, bucket, borrower)) return free;
   const std::int64_t kept =
@@ -502,12 +501,13 @@
     if (static_cast<int>(lenders.size()) >= settings_.max_lenders) break;
     if (MayRequestFrom(workspace, peer, now)) lenders.push_back(&peer);
   }
-  const double part = kOverRequestFactor / static_cast<double>(lenders.size());
+  const double fraction =
+      kOverRequestFactor / static_cast<double>(lenders.size());
   const auto each =
-      static_cast<std::int64_t>(static_cast<double>(missing_ppb) * part);
+      static_cast<std::int64_t>(static_cast<double>(missing_ppb) * fraction);
   for (const entry_ref* lender : lenders) {
     RequestLoan(workspace, *lender, std::max(each, kMinLoanPpb),
-                missing_tokens * part / kOverRequestFactor, now, actions);
+                missing_tokens * fraction / kOverRequestFactor, now, actions);
   }
 }
 
@@ -516,7 +516,7 @@
                              loan_actions& actions) {
   // Tokens above the capacity would be lost on arrival.
   missing_tokens -= PendingLoans(workspace, now).tokens;
-  if (missing_tokens < kMinRequestedTokens) return;
+  if (missing_tokens < kMinLoanTokens) return;
   const std::size_t count = std::min<std::size_t>(
       peers_.size(), static_cast<std::size_t>(settings_.max_lenders));
   if (count == 0) return;
@@ -555,7 +555,7 @@
   limit.bucket.Advance(now);
   // The share still covers tokens in flight to other entries; it is returned a
   // moment later, or when the loan ends.
-  if (limit.bucket.TokensAside() > 0) return;
+  if (limit.bucket.ReservedTokens() > 0) return;
   for (auto at = borrowed_.lower_bound(peer_key{workspace, entry_ref{}});
        at != borrowed_.end() && at->first.first == workspace; ++at) {
     borrowed_loan& loan = at->second;
--- a/src/protocol/rate_limiter.cc
+++ b/src/protocol/rate_limiter.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Told to those who waited in vain.
+// The retry time of requests that waited for a token and got none.
 constexpr duration kRetryAfterWait = std::chrono::milliseconds(500);
 
 void Append(loan_actions added, limit_actions& actions) {
@@ -28,7 +28,7 @@
       homes_(self, limits_, options.home),
       loans_(std::move(self), limits_, options.loan, seed),
       waiting_(options.wait),
-      own_share_at_(now + options.loan.SettleTime()) {
+      share_starts_at_(now + options.loan.SettleTime()) {
   if (options_.has_homes) loans_.SetHomes(&homes_);
 }
 
@@ -41,7 +41,7 @@
   }
   for (const workspace_id& workspace : without_contract) {
     limits_.RemoveContract(workspace, now);
-    homes_.OnContract(workspace);
+    homes_.OnContractChanged(workspace);
   }
   for (const auto& [workspace, contract] : contracts) {
     SetContract(workspace, contract, now);
@@ -57,7 +57,7 @@
                        limit->bucket.ContractBurst() == contract.burst;
   if (is_same) return;
   limits_.SetContract(workspace, contract.rate_per_s, contract.burst, now);
-  homes_.OnContract(workspace);
+  homes_.OnContractChanged(workspace);
 }
 
 void rate_limiter::SetShare(const vm_share& share, int divisor,
@@ -72,32 +72,34 @@
   homes_.SetLive(std::move(live));
 }
 
-// Those who wait come first. If a newcomer took the token that one of them was
-// promised, that one would wait in vain, and under steady demand all would.
+// Waiting requests come first. If a new request took the token that a waiting
+// one is promised, the waiting one would be rejected after all, and under
+// steady demand all waiting requests would.
 limit_decision rate_limiter::OnRequest(const workspace_id& workspace,
                                        monotonic_time deadline,
                                        monotonic_time now,
                                        limit_actions& actions) {
-  if (!waiting_.IsEmpty()) Serve(workspace, now, actions);
+  if (!waiting_.IsEmpty()) AdmitWaiting(workspace, now, actions);
   const admit_result result = limits_.Admit(workspace, now);
   if (std::holds_alternative<admitted>(result)) return admitted{};
   const auto* over = std::get_if<over_rate>(&result);
   if (over == nullptr) return over_rate{now + kRetryAfterWait};
-  return Seek(workspace, over->retry_at, deadline, now, actions);
+  return FindTokenOrWait(workspace, over->retry_at, deadline, now, actions);
 }
 
-limit_decision rate_limiter::Seek(const workspace_id& workspace,
-                                  monotonic_time retry_at,
-                                  monotonic_time deadline, monotonic_time now,
-                                  limit_actions& actions) {
+limit_decision rate_limiter::FindTokenOrWait(const workspace_id& workspace,
+                                             monotonic_time retry_at,
+                                             monotonic_time deadline,
+                                             monotonic_time now,
+                                             limit_actions& actions) {
   if (options_.has_loans) Append(loans_.OnDemand(workspace, now), actions);
   token_prospects prospects;
   prospects.may_borrow = MayBorrow(workspace, now);
   if (options_.has_homes) {
-    seek_result sought = homes_.Seek(workspace, now);
-    if (std::holds_alternative<admitted>(sought)) return admitted{};
-    if (const auto* over = std::get_if<over_rate>(&sought)) return *over;
-    if (auto* ask = std::get_if<send_token_ask>(&sought)) {
+    token_search_result search = homes_.FindToken(workspace, now);
+    if (std::holds_alternative<admitted>(search)) return admitted{};
+    if (const auto* over = std::get_if<over_rate>(&search)) return *over;
+    if (auto* ask = std::get_if<send_token_ask>(&search)) {
       prospects.may_borrow = true;
       actions.emplace_back(std::move(*ask));
     }
@@ -105,11 +107,11 @@
   token_bucket& bucket = limits_.Find(workspace)->bucket;
   prospects.own_token_at = bucket.NextTokenAt(now, waiting_.Waiting(workspace));
   prospects.contract_rate_per_s = bucket.ContractRate();
-  if (now < own_share_at_) {
-    prospects.share_begins_at = own_share_at_;
-    // A share that wasn't told yet may come at any moment.
+  if (now < share_starts_at_) {
+    prospects.share_begins_at = share_starts_at_;
+    // A share that hasn't been received yet may come at any moment.
     const bool is_share_due =
-        limits_.GrantedPpb() == 0 && own_share_at_ < deadline;
+        limits_.GrantedPpb() == 0 && share_starts_at_ < deadline;
     prospects.may_borrow = prospects.may_borrow || is_share_due;
   }
   const wait_ticket ticket{last_ticket_ + 1};
@@ -136,7 +138,7 @@
                                       monotonic_time now) {
   limit_actions actions;
   loans_.OnLoanGrant(from, grant, now);
-  ServeAll(now, actions);
+  AdmitAllWaiting(now, actions);
   return actions;
 }
 
@@ -158,14 +160,14 @@
   return actions;
 }
 
-// A refusal ends the oldest that waits: each of them has asked once, and which
-// of them a token would have served is all the same.
+// A refusal ends the oldest waiting request: each waiting request has sent one
+// token request, and it doesn't matter which of them a token would have served.
 limit_actions rate_limiter::OnMessage(const entry_ref& from,
                                       const token_grant& grant,
                                       monotonic_time now) {
   limit_actions actions;
   const grant_result result = homes_.OnTokenGrant(from, grant, now);
-  ServeAll(now, actions);
+  AdmitAllWaiting(now, actions);
   const auto* over = std::get_if<over_rate>(&result);
   if (over == nullptr) return actions;
   const auto oldest = waiting_.TakeOldest(grant.workspace);
@@ -176,7 +178,7 @@
 limit_actions rate_limiter::OnTimer(monotonic_time now) {
   limit_actions actions;
   if (options_.has_loans) Append(loans_.OnTimer(now), actions);
-  ServeAll(now, actions);
+  AdmitAllWaiting(now, actions);
   for (const wait_ticket ticket : waiting_.TakeExpired(now)) {
     actions.emplace_back(turn_away{ticket, now + kRetryAfterWait});
   }
@@ -185,7 +187,7 @@
 
 limit_actions rate_limiter::OnTokenTime(monotonic_time now) {
   limit_actions actions;
-  ServeAll(now, actions);
+  AdmitAllWaiting(now, actions);
   return actions;
 }
 
@@ -199,17 +201,18 @@
   return options_.has_homes ? homes_.HomeOf(workspace) : nullptr;
 }
 
-// The request was counted as demand when it came.
+// Takes a token without counting an arrival: the request was counted when it
+// came.
 bool rate_limiter::TakeToken(const workspace_id& workspace,
                              monotonic_time now) {
   workspace_limit* limit = limits_.Find(workspace);
   const bool is_valid = limit != nullptr && !limit->is_withdrawn;
   if (is_valid && limit->bucket.TryTake(now)) return true;
-  return options_.has_homes && homes_.TakeSpare(workspace, now);
+  return options_.has_homes && homes_.TakeSpareToken(workspace, now);
 }
 
-void rate_limiter::Serve(const workspace_id& workspace, monotonic_time now,
-                         limit_actions& actions) {
+void rate_limiter::AdmitWaiting(const workspace_id& workspace,
+                                monotonic_time now, limit_actions& actions) {
   const auto take_token = [&] { return TakeToken(workspace, now); };
   for (const wait_ticket ticket :
        waiting_.TakeAdmitted(workspace, take_token)) {
@@ -217,20 +220,22 @@
   }
 }
 
-void rate_limiter::ServeAll(monotonic_time now, limit_actions& actions) {
-  if (options_.has_homes) Append(homes_.ServeHeld(limits_, now), actions);
+void rate_limiter::AdmitAllWaiting(monotonic_time now, limit_actions& actions) {
+  if (options_.has_homes)
+    Append(homes_.AnswerHeldRequests(limits_, now), actions);
   for (const workspace_id& workspace : waiting_.Workspaces()) {
-    Serve(workspace, now, actions);
+    AdmitWaiting(workspace, now, actions);
   }
 }
 
-// An entry that has just started has heard of no other yet. Refused at once, a
-// caller who stays with it would be turned away a thousand times in the second
-// until its first loan; one notices by 429 inside the rate after each restart.
+// An entry that has just started has not received any other entry yet. If it
+// rejected at once, a caller that stays with it would be rejected a thousand
+// times in the second until the first loan, and would see 429 inside its rate
+// after each restart.
 bool rate_limiter::MayBorrow(const workspace_id& workspace,
                              monotonic_time now) const {
   if (!options_.has_loans) return false;
-  const bool has_just_started = !knows_lenders_ && now < own_share_at_;
+  const bool has_just_started = !knows_lenders_ && now < share_starts_at_;
   return has_just_started || loans_.MayBorrow(workspace, now);
 }
 
--- a/src/protocol/token_home.cc
+++ b/src/protocol/token_home.cc
@@ -8,24 +8,24 @@
 
 namespace {
 
-// Told to those whose workspace has too many asks on their way already, and
-// while loans are on their way to the home: about a round trip between regions.
+// The retry time for a workspace with too many pending token requests, and
+// while loans to the home are pending: about a round trip between regions.
 constexpr duration kShortRetry = std::chrono::milliseconds(150);
 
-// Without a token in sight at the home.
+// The retry time when no token is in sight at the home.
 constexpr duration kLongRetry = std::chrono::seconds(1);
 
-// A retry time of hostile length would keep the workspace out here.
-constexpr std::int64_t kLongestRetryMs = 60'000;
+// A longer retry time, from a hostile message, would keep the workspace out.
+constexpr std::int64_t kMaxRetryMs = 60'000;
 
-// Below this part of the contract more may come by loans.
-constexpr std::int64_t kNearlyWhole = kWholePpb / 10 * 9;
+// Below this share of the contract, loans may bring more.
+constexpr std::int64_t kNearlyFullPpb = kWholePpb / 10 * 9;
 
-// Far above any time a message takes.
-constexpr duration kRememberFor = std::chrono::seconds(30);
-constexpr duration kForgetInterval = std::chrono::seconds(5);
+// Far above any time that a message takes.
+constexpr duration kRecordRetention = std::chrono::seconds(30);
+constexpr duration kCleanupInterval = std::chrono::seconds(5);
 
-std::uint64_t Mix(std::uint64_t x) {
+std::uint64_t MixBits(std::uint64_t x) {
   x ^= x >> 30;
   x *= 0xbf58476d1ce4e5b9u;
   x ^= x >> 27;
@@ -33,7 +33,7 @@
   return x ^ (x >> 31);
 }
 
-// Not of the incarnation: a restarted entry is the home again.
+// The hash leaves out the incarnation: a restarted entry is the home again.
 std::uint64_t HashOf(const entry_ref& entry) {
   return HashBytes(entry.vm.Str(), static_cast<std::uint64_t>(entry.loop));
 }
@@ -62,20 +62,20 @@
   home_of_.clear();
 }
 
-// Answers a contract that is small against the number of VMs: each VM's part
-// of the burst is a few tokens or less than one, so that requests in its rate
-// find none wherever they arrive. Loans alone can't mend that, since each of
-// the VMs would want whole tokens of a burst that has fewer than there are
-// VMs. One place that holds them all admits as a single bucket would.
+// Handles a contract that is small against the number of VMs: each VM's share
+// of the burst is a few tokens or less than one, so that requests inside the
+// rate find none wherever they arrive. Loans alone don't help, since each VM
+// would need whole tokens of a burst that has fewer tokens than there are VMs.
+// One entry that holds all tokens admits as a single bucket would.
 //
-// A round trip to the home is what it costs; so workspaces whose part here
-// carries a burst of its own don't have one. At a load of 0.8 and two tokens a
-// VM 13% of the requests in the rate are refused without a home and 0.7% with
-// one; with three it is 1.9% (4% beside an overload) and 0.5%; with four less
-// than 1.5% without one, and lost asks cost nearly as much.
+// A home costs a round trip, so workspaces whose share here carries a burst of
+// its own have no home. At a load of 0.8 and two tokens per VM, 13% of the
+// requests inside the rate are refused without a home and 0.7% with one; with
+// three tokens 1.9% (4% beside an overload) and 0.5%; with four less than 1.5%
+// without a home, and lost token requests cost nearly as much.
 bool token_home::IsSmall(const workspace_id& workspace) const {
   const std::int64_t own = limits_.GrantedPpb();
-  // Without a share nothing is known of what the part will be.
+  // Without a share, the size of the future share is unknown.
   if (own <= 0) return false;
   const workspace_limit* limit = limits_.Find(workspace);
   if (limit == nullptr || limit->is_withdrawn) return false;
@@ -85,21 +85,21 @@
   return capacity < settings_.small_capacity;
 }
 
-// Rendezvous hashing over those shown live: when the home goes, only its
-// workspaces get another. Two entries may differ about it for a while, as
-// their views do. That is harmless: whoever is asked admits from its own
-// bucket, so that a wrong home has fewer tokens to give but never gives one
-// that another may give too.
+// Rendezvous hashing over the live entries: when a home goes, only its
+// workspaces move. Two entries may disagree about a home for a while, as their
+// views do. That is harmless: each entry grants from its own bucket, so that a
+// wrong home has fewer tokens to grant, but never a token that another entry
+// may grant too.
 const entry_ref* token_home::HomeOf(const workspace_id& workspace) const {
   if (live_.empty() || !IsSmall(workspace)) return nullptr;
   const auto [found, added] = home_of_.try_emplace(workspace, 0);
   if (added) {
     const std::uint64_t hash = HashBytes(workspace.Str());
-    const auto best =
-        std::max_element(live_.begin(), live_.end(),
-                         [hash](const live_entry& a, const live_entry& b) {
-                           return Mix(a.hash ^ hash) < Mix(b.hash ^ hash);
-                         });
+    const auto best = std::max_element(
+        live_.begin(), live_.end(),
+        [hash](const live_entry& a, const live_entry& b) {
+          return MixBits(a.hash ^ hash) < MixBits(b.hash ^ hash);
+        });
     found->second = static_cast<std::size_t>(best - live_.begin());
   }
   return &live_[found->second].ref;
@@ -111,16 +111,16 @@
   return *home == self_ ? home_role::kSelf : home_role::kElsewhere;
 }
 
-// After a refusal the home isn't asked before the time that it gave. Without
-// that, a caller that sends several times its rate would have each of its
-// requests carried to the home by two messages, from all VMs to one.
-seek_result token_home::Seek(const workspace_id& workspace,
-                             monotonic_time now) {
-  Forget(now);
-  if (TakeSpare(workspace, now)) return admitted{};
+// After a refusal, the home gets no request before the retry time that it gave.
+// Otherwise each request of a caller that sends several times its rate would
+// cost two messages, from all VMs to one home.
+token_search_result token_home::FindToken(const workspace_id& workspace,
+                                          monotonic_time now) {
+  DropOldRecords(now);
+  if (TakeSpareToken(workspace, now)) return admitted{};
   const entry_ref* home = HomeOf(workspace);
-  if (home == nullptr || *home == self_) return no_home{};
-  asked_workspace& asked = asked_[workspace];
+  if (home == nullptr || *home == self_) return no_remote_home{};
+  workspace_requests& asked = asked_[workspace];
   const auto& refused = asked.refused;
   if (refused && refused->home == *home && now < refused->until) {
     return over_rate{refused->until};
@@ -128,17 +128,17 @@
   std::erase_if(asked.sent, [now](const auto& item) {
     return item.second.usable_until <= now;
   });
-  if (asked.sent.size() >= settings_.max_asks) {
+  if (asked.sent.size() >= settings_.max_pending_requests) {
     return over_rate{now + kShortRetry};
   }
   const std::uint64_t number = next_number_++;
-  asked.sent[number] = {*home, now + settings_.usable};
+  asked.sent[number] = {*home, now + settings_.token_lifetime};
   return send_token_ask{*home, {workspace, number}};
 }
 
-// A token counts once, and only until the home may count on it that it is not
-// used any more. One that was granted by a contract with a larger burst than
-// the one known here would come on top of the smaller one.
+// A token counts once, and only until the home may assume that it is no longer
+// used. A token granted by a contract with a larger burst than the one known
+// here would come on top of the smaller burst.
 grant_result token_home::OnTokenGrant(const entry_ref& from,
                                       const token_grant& grant,
                                       monotonic_time now) {
@@ -151,7 +151,7 @@
   asked->second.sent.erase(sent);
   if (!grant.granted) {
     const std::int64_t ms =
-        std::clamp<std::int64_t>(grant.retry_ms, 1, kLongestRetryMs);
+        std::clamp<std::int64_t>(grant.retry_ms, 1, kMaxRetryMs);
     const monotonic_time until = now + std::chrono::milliseconds(ms);
     asked->second.refused = pause{from, until};
     return over_rate{until};
@@ -164,7 +164,8 @@
   return admitted{};
 }
 
-bool token_home::TakeSpare(const workspace_id& workspace, monotonic_time now) {
+bool token_home::TakeSpareToken(const workspace_id& workspace,
+                                monotonic_time now) {
   const auto asked = asked_.find(workspace);
   if (asked == asked_.end()) return false;
   std::deque<monotonic_time>& spare = asked->second.spare_until;
@@ -174,17 +175,18 @@
   return true;
 }
 
-// Tokens under way or kept were granted by the contract that was: a smaller
-// one has no room for them.
-void token_home::OnContract(const workspace_id& workspace) {
+// Tokens in flight or kept here were granted by the previous contract; a
+// smaller contract has no room for them.
+void token_home::OnContractChanged(const workspace_id& workspace) {
   asked_.erase(workspace);
 }
 
-// Only the part that lasts until the token has been used carries it: if a loan
-// ended before, its lender's bucket would fill beside the token under way.
-bool token_home::MayPartWith(token_bucket& bucket, monotonic_time now) const {
+// Only shares that last until the token has been used may cover it: if a loan
+// ended earlier, its lender's bucket would fill while the token is in flight.
+bool token_home::CanGrantToken(token_bucket& bucket, monotonic_time now) const {
   bucket.Advance(now);
-  const monotonic_time used_by = now + settings_.usable + 2 * settings_.margin;
+  const monotonic_time used_by =
+      now + settings_.token_lifetime + 2 * settings_.margin;
   return bucket.Tokens() >= 1 && bucket.CapacityUntil(used_by) >= 1;
 }
 
@@ -192,7 +194,8 @@
                                    const workspace_id& workspace,
                                    std::uint64_t number,
                                    monotonic_time now) const {
-  bucket.SetAside(1, now + settings_.usable + settings_.margin, now);
+  bucket.ReserveCapacity(1, now + settings_.token_lifetime + settings_.margin,
+                         now);
   return {to, {workspace, number, true, 0, bucket.ContractBurst()}};
 }
 
@@ -202,21 +205,22 @@
                                     monotonic_time now) const {
   const monotonic_time next =
       bucket.NextTokenAt(now).value_or(now + kLongRetry);
-  // By the parts as they are now; more are on their way.
-  const bool is_lacking = bucket.Ppb() < kNearlyWhole;
+  // The time by the present shares; more shares may arrive by loans.
+  const bool is_lacking = bucket.Ppb() < kNearlyFullPpb;
   const duration wait = std::max(next - now, duration::zero());
-  const duration told = is_lacking ? std::min(wait, kShortRetry) : wait;
-  return {to, {workspace, number, false, ToMsRoundedUp(told), 0}};
+  const duration retry_after = is_lacking ? std::min(wait, kShortRetry) : wait;
+  return {to, {workspace, number, false, ToMsRoundedUp(retry_after), 0}};
 }
 
-// The ask counts as this entry's demand, for which it borrows. A repeat gets
-// no second answer; that would spend a token that the asker drops.
+// The token request counts as demand of this entry, which borrows for it. A
+// repeated request gets no second reply, which would spend a token that the
+// requester drops.
 token_grants token_home::OnTokenAsk(admission& limits, const entry_ref& from,
                                     const token_ask& ask, bool may_borrow,
                                     monotonic_time now) {
   token_grants grants;
-  Forget(now);
-  asker& seen = askers_[{ask.workspace, from}];
+  DropOldRecords(now);
+  requester& seen = requesters_[{ask.workspace, from}];
   if (ask.number <= seen.number) return grants;
   seen = {ask.number, now};
   workspace_limit* limit = limits.Find(ask.workspace);
@@ -227,17 +231,17 @@
     return grants;
   }
   token_bucket& bucket = limit->bucket;
-  if (MayPartWith(bucket, now) &&
+  if (CanGrantToken(bucket, now) &&
       std::holds_alternative<admitted>(limits.Admit(ask.workspace, now))) {
     grants.push_back(Grant(bucket, from, ask.workspace, ask.number, now));
     return grants;
   }
   ++limit->arrivals;
-  std::deque<held_ask>& held = held_[ask.workspace];
-  const bool may_hold = may_borrow && bucket.Ppb() < kNearlyWhole &&
-                        held.size() < settings_.max_asks;
+  std::deque<held_request>& held = held_[ask.workspace];
+  const bool may_hold = may_borrow && bucket.Ppb() < kNearlyFullPpb &&
+                        held.size() < settings_.max_pending_requests;
   if (may_hold) {
-    held.push_back({from, ask.number, now + settings_.longest_hold});
+    held.push_back({from, ask.number, now + settings_.max_hold});
     return grants;
   }
   ++limit->refusals;
@@ -245,7 +249,8 @@
   return grants;
 }
 
-token_grants token_home::ServeHeld(admission& limits, monotonic_time now) {
+token_grants token_home::AnswerHeldRequests(admission& limits,
+                                            monotonic_time now) {
   token_grants grants;
   for (auto& [workspace, held] : held_) {
     workspace_limit* limit = limits.Find(workspace);
@@ -254,14 +259,14 @@
       continue;
     }
     token_bucket& bucket = limit->bucket;
-    while (!held.empty() && MayPartWith(bucket, now)) {
+    while (!held.empty() && CanGrantToken(bucket, now)) {
       bucket.TryTake(now);
-      const held_ask& first = held.front();
+      const held_request& first = held.front();
       grants.push_back(Grant(bucket, first.from, workspace, first.number, now));
       held.pop_front();
     }
     while (!held.empty() && held.front().give_up_at <= now) {
-      const held_ask& first = held.front();
+      const held_request& first = held.front();
       grants.push_back(
           Refuse(bucket, first.from, workspace, first.number, now));
       held.pop_front();
@@ -271,13 +276,13 @@
   return grants;
 }
 
-// Drops what no message in flight can refer to any more. A repeat later still
-// costs the home a token that nobody uses.
-void token_home::Forget(monotonic_time now) {
-  if (now < forget_at_) return;
-  forget_at_ = now + kForgetInterval;
-  std::erase_if(askers_, [&](const auto& item) {
-    return item.second.seen_at < now - kRememberFor;
+// Drops records that no message in flight can refer to any more. A repeated
+// request that arrives even later costs the home a token that nobody uses.
+void token_home::DropOldRecords(monotonic_time now) {
+  if (now < next_cleanup_at_) return;
+  next_cleanup_at_ = now + kCleanupInterval;
+  std::erase_if(requesters_, [&](const auto& item) {
+    return item.second.seen_at < now - kRecordRetention;
   });
   for (auto& [workspace, asked] : asked_) {
     std::erase_if(asked.sent, [now](const auto& item) {
@@ -287,7 +292,7 @@
                   [now](monotonic_time until) { return until <= now; });
   }
   std::erase_if(asked_, [now](const auto& item) {
-    const asked_workspace& asked = item.second;
+    const workspace_requests& asked = item.second;
     const bool is_paused = asked.refused && now < asked.refused->until;
     return asked.sent.empty() && asked.spare_until.empty() && !is_paused;
   });
--- a/tests/protocol/token_bucket_test.cc
+++ b/tests/protocol/token_bucket_test.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(StartsEmptyAndFillsToItsPartOfTheBurst) {
+BOOST_AUTO_TEST_CASE(StartsEmptyAndFillsToItsShareOfTheBurst) {
   token_bucket bucket(100, 50, kStart);
   BOOST_TEST(!bucket.TryTake(kStart));
   bucket.SetPart({1, kWholePpb / 10, After(1000)}, kStart);
@@ -26,7 +26,7 @@
   BOOST_TEST(bucket.Tokens() == 5.0);
 }
 
-// A VM is frozen for a minute and wakes after its lease has gone to another.
+// A VM is frozen for a minute and wakes after its lease has gone to another VM.
 // Refilled for the whole minute, its bucket would admit what the other VM
 // admits as well.
 BOOST_AUTO_TEST_CASE(TimeAfterADeadlineRefillsNothing) {
@@ -36,7 +36,7 @@
   bucket.Advance(After(1));
   BOOST_TEST(bucket.Tokens() == 50.0, boost::test_tools::tolerance(1e-9));
   bucket.Advance(After(2.5));
-  // 100 at the deadline, 5 more since at the part that is left.
+  // 100 at the deadline, and 5 more at the remaining share.
   BOOST_TEST(bucket.Tokens() == 100.0, boost::test_tools::tolerance(1e-9));
   token_bucket late(100, 1000, kStart);
   late.SetPart({2, kWholePpb / 2, After(2)}, kStart);
@@ -44,8 +44,8 @@
   BOOST_TEST(late.Tokens() == 0.0);
 }
 
-// The parts change places in a minute of freeze: the tokens of the larger part
-// must be gone though at the wake the capacity is large again.
+// Shares change during a freeze: the tokens of the larger share must be gone,
+// although the capacity is large again when the process resumes.
 BOOST_AUTO_TEST_CASE(TokensAreCutAtTheMomentTheCapacityShrinks) {
   token_bucket bucket(1, 100, kStart);
   bucket.SetPart({1, kWholePpb, After(1000)}, kStart);
@@ -67,21 +67,21 @@
   BOOST_TEST(bucket.Tokens() == 5.0);
 }
 
-BOOST_AUTO_TEST_CASE(NextTokenIsThereWhenItWasPromised) {
+BOOST_AUTO_TEST_CASE(NextTokenIsThereAtThePredictedTime) {
   token_bucket bucket(10, 10, kStart);
   bucket.SetPart({1, kWholePpb / 10, After(1000)}, kStart);
   bucket.SetPart({2, kWholePpb / 10 * 4, After(0.1)}, kStart);
   const auto at = bucket.NextTokenAt(kStart);
   BOOST_REQUIRE(at.has_value());
-  // 0.4 tokens until the lease ends, 0.6 at a tenth of the rate.
+  // 0.4 tokens until the lease ends, then 0.6 at a tenth of the rate.
   BOOST_TEST(citron::ToSeconds(*at - kStart) == 0.6,
              boost::test_tools::tolerance(0.2));
   BOOST_TEST(!bucket.TryTake(*at - FromSeconds(0.001)));
   BOOST_TEST(bucket.TryTake(*at));
 }
 
-// Three requests wait; a fourth is told when its own token will be there. The
-// bucket never holds four, since each is taken as it comes.
+// Three requests wait; a fourth gets the time of its own token. The bucket
+// never holds four tokens, since each is taken as it comes.
 BOOST_AUTO_TEST_CASE(TokenBehindOthersComesLater) {
   token_bucket bucket(100, 10, kStart);
   bucket.SetPart({1, kWholePpb / 5, After(1000)}, kStart);
@@ -94,7 +94,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(NoTokenIsPromisedWhereNoneWillCome) {
+BOOST_AUTO_TEST_CASE(NoTokenIsPredictedWhereNoneWillCome) {
   token_bucket bucket(10, 10, kStart);
   BOOST_TEST(!bucket.NextTokenAt(kStart).has_value());
   // Half a token of capacity.
