--- a/tests/protocol/loan_book_test.cc
+++ b/tests/protocol/loan_book_test.cc
@@ -184,7 +184,7 @@
   BOOST_TEST(lender.Ppb(4.5) == kWholePpb / 4);
 }
 
-// A workspace has fewer tokens than entries: shares below one token admit
+// A workspace has ten tokens for ten entries: shares below one token admit
 // nothing, so some entry must get several of them.
 BOOST_AUTO_TEST_CASE(SharesBelowOneTokenAreYieldedInOneDirection) {
   half_share_entry one(kOne);
