--- a/include/citron/protocol/admission.h
+++ b/include/citron/protocol/admission.h
@@ -49,7 +49,8 @@
 
   admit_result Admit(const workspace_id& workspace, monotonic_time now);
 
-  // For loan_book; null without a contract.
+  // Returns null if there is no limit. The limit of a withdrawn contract is
+  // returned while it is kept.
   workspace_limit* Find(const workspace_id& workspace);
   const workspace_limit* Find(const workspace_id& workspace) const;
   std::unordered_map<workspace_id, workspace_limit>& Limits() {
@@ -59,7 +60,8 @@
   // `until`.
   std::int64_t OwnPpbUntil(monotonic_time now, monotonic_time until) const;
 
-  // Returns the loop's own share, begun or not; 0 before a share was granted.
+  // Returns the loop's own share as last set, whether it has begun or ended; 0
+  // before a share was granted.
   std::int64_t GrantedPpb() const;
 
  private:
--- a/include/citron/protocol/loan_book.h
+++ b/include/citron/protocol/loan_book.h
@@ -27,7 +27,7 @@
   workspace_id workspace;
   std::uint64_t number = 0;
   std::int64_t ppb = 0;
-  double tokens = 0;             // Requested as well; never returned.
+  double tokens = 0;             // Requested as well; without deadline.
   std::int64_t duration_ms = 0;  // Counted from the request.
 };
 
@@ -73,13 +73,15 @@
   // Time constants of the smoothed demand; see loan_book::UpdateDemand.
   duration fast_smoothing = std::chrono::milliseconds(200);
   duration slow_smoothing = std::chrono::seconds(2);
-  duration ask_timeout = std::chrono::milliseconds(300);
+  duration request_timeout = std::chrono::milliseconds(300);
   // The first pause before a lender that granted less than requested gets
   // another request.
   duration refused_pause = std::chrono::milliseconds(50);
-  int max_lenders = 16;  // Of one workspace at one time.
+  // The most lenders that one call requests shares from; token requests go only
+  // to this many nearest peers.
+  int max_lenders = 16;
   // The fraction of its own share that a lender without demand keeps.
-  std::int64_t keep_ppm = 20'000;
+  std::int64_t kept_share_ppm = 20'000;
 
   // The time after which no loan of an earlier moment is in use any more.
   duration SettleTime() const { return loan + 2 * margin; }
@@ -104,7 +106,8 @@
   void SetHomes(const token_home* homes) { homes_ = homes; }
 
   loan_actions OnTimer(monotonic_time now);
-  // Called when a request is rejected: borrows without waiting for the timer.
+  // Called when a request finds no local token, or another entry requests a
+  // token: borrows without waiting for the timer.
   loan_actions OnDemand(const workspace_id& workspace, monotonic_time now);
   loan_actions OnLoanAsk(const entry_ref& from, const loan_ask& ask,
                          monotonic_time now);
@@ -112,12 +115,13 @@
                    monotonic_time now);
   void OnLoanReturn(const entry_ref& from, const loan_return& returned,
                     monotonic_time now);
-  // Called on a graceful leave: returns all loans and ends lending.
+  // Called on a graceful leave: returns all loans, except those of workspaces
+  // with reserved tokens, which end at their deadlines. Ends lending.
   loan_actions OnRelease(monotonic_time now);
 
-  // Returns whether tokens of other entries are pending or can be requested;
-  // false while all peers have recently replied that they have nothing to
-  // spare.
+  // Returns whether a request is pending or may be sent to any peer. False
+  // after OnRelease, without peers, and while every peer is paused after it
+  // granted less than requested.
   bool MayBorrow(const workspace_id& workspace, monotonic_time now) const;
 
   // For status pages and tests.
--- a/include/citron/protocol/rate_limiter.h
+++ b/include/citron/protocol/rate_limiter.h
@@ -98,7 +98,7 @@
   std::optional<monotonic_time> NextTokenAt(monotonic_time now) const {
     return waiting_.NextTokenAt(now);
   }
-  // Called on a graceful leave: returns all loans and ends lending.
+  // Called on a graceful leave; see loan_book::OnRelease.
   limit_actions OnRelease(monotonic_time now);
 
   // Returns the entry that holds a small workspace's tokens; null for any other
--- a/include/citron/protocol/token_bucket.h
+++ b/include/citron/protocol/token_bucket.h
@@ -55,12 +55,13 @@
   // of 10 ms.
   void ReserveCapacity(double tokens, monotonic_time until, monotonic_time now);
   double ReservedTokens() const { return reserved_tokens_; }
-  // Returns the capacity of the parts that last until `until`, less the
-  // reserved tokens.
+  // Returns the capacity of the parts that last until `until`. Negative parts
+  // and reserved tokens count in full even if they end earlier.
   double CapacityUntil(monotonic_time until) const;
 
   // Returns when a token will be there, by the present parts, for a request
-  // behind `ahead` others that take one token each; empty if never.
+  // behind `ahead` others that take one token each. Empty if none is expected
+  // within an hour between two changes of the parts.
   std::optional<monotonic_time> NextTokenAt(monotonic_time now,
                                             std::size_t ahead = 0) const;
 
--- a/include/citron/protocol/token_home.h
+++ b/include/citron/protocol/token_home.h
@@ -50,7 +50,9 @@
 using token_search_result =
     std::variant<admitted, send_token_ask, over_rate, no_remote_home>;
 
-// The reply has no effect: repeated, too late, or never requested.
+// The reply has no effect: it is repeated, too late, never requested, from
+// another sender, for a workspace without a contract, or granted by a larger
+// burst.
 struct grant_ignored {};
 // `admitted`: a token is kept here for the next request that takes it.
 // `over_rate`: the request that needed the token is to be rejected.
@@ -95,8 +97,9 @@
                                 monotonic_time now);
   grant_result OnTokenGrant(const entry_ref& from, const token_grant& grant,
                             monotonic_time now);
-  // Takes a token that came for a request that no longer needs it.
-  bool TakeSpareToken(const workspace_id& workspace, monotonic_time now);
+  // Takes a token received from the home that has not expired; returns whether
+  // there was one.
+  bool TakeReceivedToken(const workspace_id& workspace, monotonic_time now);
   // Called when the contract was changed here.
   void OnContractChanged(const workspace_id& workspace);
 
@@ -130,7 +133,7 @@
   // received.
   struct workspace_requests {
     std::map<std::uint64_t, sent_request> sent;
-    std::deque<monotonic_time> spare_until;
+    std::deque<monotonic_time> received_until;
     std::optional<pause> refused;
   };
 
--- a/src/protocol/admission.cc
+++ b/src/protocol/admission.cc
@@ -14,8 +14,8 @@
 
 constexpr std::int64_t kPpbOfPpm = kWholePpb / kWholePpm;
 
-// The retry time for a workspace without any token here now or in sight: about
-// the time in which a loan or a renewed share arrives.
+// The retry time when no next token can be predicted: about the time in which a
+// loan or a renewed share arrives.
 constexpr duration kRetryWithoutShare = std::chrono::seconds(1);
 
 bool HasLoans(const token_bucket& bucket) {
@@ -53,9 +53,10 @@
   }
 }
 
-// The bucket stays until its loans have ended. If it were dropped at once, a
-// contract that is withdrawn and granted again would find the whole share here,
-// while the borrowers still use their shares of it.
+// The bucket stays while it has loans; each call drops withdrawn buckets
+// without any. If it were dropped at once, a contract that is withdrawn and
+// granted again would find the whole share here, while the borrowers still use
+// their shares of it.
 void admission::RemoveContract(const workspace_id& workspace,
                                monotonic_time now) {
   workspace_limit* limit = Find(workspace);
@@ -71,8 +72,8 @@
 
 // Handles a workspace, or all of its callers, sending several times its rate:
 // without a rejection here its requests would fill the queues of the upstreams,
-// and the other workspaces would wait behind them. A rejection costs one
-// look-up and is answered at once with the time of the next token.
+// and the other workspaces would wait behind them. The result has the time of
+// the next token.
 admit_result admission::Admit(const workspace_id& workspace,
                               monotonic_time now) {
   const auto found = limits_.find(workspace);
--- a/src/protocol/loan_book.cc
+++ b/src/protocol/loan_book.cc
@@ -28,16 +28,21 @@
 constexpr double kMissedArrivalsForNoDemand = 6;
 constexpr double kMinDemandPerSecond = 1;  // Requests per second.
 
-// Tokens that should last until the reply of a lender in another region, and
-// tokens to request, as time at the present demand.
+// A bucket requests tokens when it has fewer than for this time at the present
+// demand, or fewer than kLowTokens: they should last until the reply of a
+// lender in another region.
 constexpr double kLowTokenSeconds = 0.3;
+// The time at the present demand for which tokens are requested, or kept here
+// when others request them.
 constexpr double kTargetTokenSeconds = 1.0;
 constexpr double kLowTokens = 1.5;
+// Fewer missing tokens are not requested; a grant of fewer counts as refused
+// unless it raises the share.
 constexpr double kMinLoanTokens = 0.25;
 
-// Doublings of the pause after consecutive refusals. With five, the callers of
-// an overload would cost half the messages, but demand that moves with 0.9 of
-// its rate would be refused 12% in the following second (0.7% with two).
+// Doublings of the pause after consecutive refusals. With five, an overload
+// would cost half as many messages, but when demand of 0.9 of a contract's rate
+// moves, 12% of it would be refused in the following second (0.7% with two).
 constexpr int kMaxBackoffDoublings = 2;
 
 // Doublings at a home, whose missing shares mostly can't be borrowed: the
@@ -45,6 +50,7 @@
 // five times a second would cost more messages than all tokens that the home
 // grants.
 constexpr int kMaxBackoffDoublingsAtHome = 6;
+// A home borrows shares only when it lacks more than this.
 constexpr std::int64_t kMinHomeShortagePpb = kWholePpb / 20;
 
 // A home keeps its loans this long after the last request, so that a request a
@@ -52,8 +58,8 @@
 // round trip more than the request may wait.
 constexpr duration kHomeIdleRetention = std::chrono::seconds(30);
 
-// A share with a capacity below this many tokens can't admit a request after a
-// pause; a small workspace's share of a large fleet is often less than one.
+// The least capacity that a share should have to admit a request after a pause;
+// a small workspace's share of a large fleet is often less than one token.
 constexpr double kMinCapacityTokens = 2.0;
 
 // Loans are returned when the share exceeds the wanted one by this factor;
@@ -77,7 +83,7 @@
 // A longer loan, from a hostile request, would freeze the lender's share.
 constexpr std::int64_t kMaxLoanMs = 60'000;
 
-// Far above any time that a message takes.
+// Records are kept far longer than any message takes.
 constexpr duration kRecordRetention = std::chrono::seconds(30);
 constexpr duration kCleanupInterval = std::chrono::seconds(5);
 
@@ -136,8 +142,8 @@
   return actions;
 }
 
-// Demand that has just moved here shows only in refusals until the smoothed
-// rate has risen.
+// Updates the demand and borrows at once: the rate smoothed at the last timer
+// doesn't show demand that has just moved here.
 loan_actions loan_book::OnDemand(const workspace_id& workspace,
                                  monotonic_time now) {
   loan_actions actions;
@@ -230,8 +236,8 @@
     loan.until = until;
     limit->bucket.SetPart({loan.part_id, loan.ppb, loan.until}, now);
   }
-  // After the share, which makes room for the tokens. Tokens need no deadline:
-  // the lender no longer has them, and the capacity here limits them.
+  // Tokens are added after the share, which makes room for them. They need no
+  // deadline: the lender no longer has them, and the capacity here limits them.
   if (grant.tokens > 0) limit->bucket.AddTokens(grant.tokens, now);
 }
 
@@ -273,7 +279,7 @@
     if (found == borrowed_.end()) return true;
     const borrowed_loan& loan = found->second;
     const bool is_pending = loan.request_number != 0 &&
-                            now < loan.requested_at + settings_.ask_timeout;
+                            now < loan.requested_at + settings_.request_timeout;
     return is_pending || now >= loan.next_request_at;
   });
 }
@@ -302,9 +308,9 @@
   return homes_ == nullptr ? home_role::kNone : homes_->RoleOf(workspace);
 }
 
-// Drops records whose numbers no message in flight can refer to any more. A
-// message that arrives even later has no effect, or costs the lender a share
-// for the time of one loan; it never gives a share twice.
+// Drops records older than kRecordRetention, and lent records without a loan. A
+// message that is repeated after that has no effect, or costs the lender tokens
+// and a share for the time of one loan; it never gives a share twice.
 void loan_book::DropOldRecords(monotonic_time now) {
   if (now < next_cleanup_at_) return;
   next_cleanup_at_ = now + kCleanupInterval;
@@ -398,13 +404,13 @@
   const std::int64_t free = own - LentPpb(workspace, now);
   if (free <= 0) return free;
   // The capacity of tokens that were granted to other entries stays here until
-  // those tokens are used.
+  // their reservations end.
   if (bucket.ReservedTokens() > 0) return 0;
   if (RoleOf(workspace) == home_role::kElsewhere) return free;
   if (YieldsShareTo(workspace, bucket, borrower)) return free;
   const std::int64_t kept =
       std::max(WantedPpb(workspace, bucket) - BorrowedPpb(workspace, now),
-               own / kWholePpm * settings_.keep_ppm);
+               own / kWholePpm * settings_.kept_share_ppm);
   return std::max<std::int64_t>(0, free - kept);
 }
 
@@ -436,9 +442,9 @@
 
 // Handles demand that is in one zone or moves between zones: without loans a
 // workspace inside its rate would be refused where its callers are, while its
-// tokens are unused elsewhere. Borrows ahead of need: when the smoothed demand
-// exceeds the share here and the bucket still has tokens for the time that the
-// reply takes.
+// tokens are unused elsewhere. Borrows ahead of need: when the wanted share
+// exceeds the share here and the tokens may run out before a loan arrives. A
+// home borrows whenever more than kMinHomeShortagePpb is missing.
 void loan_book::AdjustLoans(const workspace_id& workspace,
                             workspace_limit& limit, monotonic_time now,
                             loan_actions& actions) {
@@ -471,7 +477,7 @@
   if (found == borrowed_.end()) return true;
   const borrowed_loan& loan = found->second;
   const bool is_pending = loan.request_number != 0 &&
-                          now < loan.requested_at + settings_.ask_timeout;
+                          now < loan.requested_at + settings_.request_timeout;
   return !is_pending && now >= loan.next_request_at;
 }
 
@@ -484,7 +490,7 @@
        at != borrowed_.end() && at->first.first == workspace; ++at) {
     const borrowed_loan& loan = at->second;
     if (loan.request_number == 0) continue;
-    if (now >= loan.requested_at + settings_.ask_timeout) continue;
+    if (now >= loan.requested_at + settings_.request_timeout) continue;
     sum.ppb += std::max<std::int64_t>(0, loan.requested_ppb - loan.ppb);
     sum.tokens += loan.requested_tokens;
   }
@@ -539,7 +545,7 @@
     if (loan.ppb <= 0 || loan.until <= now) continue;
     if (loan.until - now > settings_.loan - renew_after) continue;
     if (loan.request_number != 0 &&
-        now < loan.requested_at + settings_.ask_timeout) {
+        now < loan.requested_at + settings_.request_timeout) {
       continue;
     }
     RequestLoan(workspace, at->first.second, 0, 0, now, actions);
@@ -553,8 +559,8 @@
                          std::int64_t excess_ppb, monotonic_time now,
                          loan_actions& actions) {
   limit.bucket.Advance(now);
-  // The share still covers tokens in flight to other entries; it is returned a
-  // moment later, or when the loan ends.
+  // The share still covers tokens in flight to other entries; it is returned at
+  // a later timer, or ends with the loan.
   if (limit.bucket.ReservedTokens() > 0) return;
   for (auto at = borrowed_.lower_bound(peer_key{workspace, entry_ref{}});
        at != borrowed_.end() && at->first.first == workspace; ++at) {
--- a/src/protocol/rate_limiter.cc
+++ b/src/protocol/rate_limiter.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-// The retry time of requests that waited for a token and got none.
+// The retry time of requests that waited for a token and got none, and of
+// workspaces without a contract.
 constexpr duration kRetryAfterWait = std::chrono::milliseconds(500);
 
 void Append(loan_actions added, limit_actions& actions) {
@@ -160,8 +161,8 @@
   return actions;
 }
 
-// A refusal ends the oldest waiting request: each waiting request has sent one
-// token request, and it doesn't matter which of them a token would have served.
+// A refusal ends the oldest waiting request. Which of them sent the token
+// request makes no difference, as a token would have served any of them.
 limit_actions rate_limiter::OnMessage(const entry_ref& from,
                                       const token_grant& grant,
                                       monotonic_time now) {
@@ -208,7 +209,7 @@
   workspace_limit* limit = limits_.Find(workspace);
   const bool is_valid = limit != nullptr && !limit->is_withdrawn;
   if (is_valid && limit->bucket.TryTake(now)) return true;
-  return options_.has_homes && homes_.TakeSpareToken(workspace, now);
+  return options_.has_homes && homes_.TakeReceivedToken(workspace, now);
 }
 
 void rate_limiter::AdmitWaiting(const workspace_id& workspace,
@@ -228,8 +229,8 @@
   }
 }
 
-// An entry that has just started has not received any other entry yet. If it
-// rejected at once, a caller that stays with it would be rejected a thousand
+// Returns true also while an entry that has just started knows no lenders. If
+// it rejected at once, a caller that stays with it would be rejected a thousand
 // times in the second until the first loan, and would see 429 inside its rate
 // after each restart.
 bool rate_limiter::MayBorrow(const workspace_id& workspace,
--- a/src/protocol/token_bucket.cc
+++ b/src/protocol/token_bucket.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Longer waits mean no more than "much later"; the limit keeps the arithmetic
-// inside the range of a duration.
+// Longer waits count as no token; the limit keeps the arithmetic inside the
+// range of a duration.
 constexpr double kMaxWaitSeconds = 3600;
 
 // Reservations that end within one step share a record, so that a workspace of
@@ -108,7 +108,8 @@
     }
     at = change;
     bucket.Advance(at);
-    // A capacity below one token gave no token: what remains of it counts.
+    // A capacity below one token lets no token be taken: the tokens that remain
+    // after the change count.
     if (!reaches_whole_tokens) {
       missing = static_cast<double>(ahead) + 1 - bucket.tokens_;
     }
@@ -138,8 +139,8 @@
     sum += part.ppb;
     next_change_ = std::min(next_change_, part.until);
   }
-  // Negative when the share shrank below what is lent; never above the whole,
-  // unless a message was false.
+  // The sum is negative when the share shrank below what is lent; it never
+  // exceeds the whole unless a message was false.
   ppb_ = std::clamp<std::int64_t>(sum, 0, kWholePpb);
   const double fraction =
       static_cast<double>(ppb_) / static_cast<double>(kWholePpb);
--- a/src/protocol/token_home.cc
+++ b/src/protocol/token_home.cc
@@ -8,11 +8,12 @@
 
 namespace {
 
-// The retry time for a workspace with too many pending token requests, and
-// while loans to the home are pending: about a round trip between regions.
+// The retry time with too many pending token requests, and the longest retry
+// time while the home lacks a share that loans may bring: about a round trip
+// between regions.
 constexpr duration kShortRetry = std::chrono::milliseconds(150);
 
-// The retry time when no token is in sight at the home.
+// The retry time when the home has no contract or can't predict its next token.
 constexpr duration kLongRetry = std::chrono::seconds(1);
 
 // A longer retry time, from a hostile message, would keep the workspace out.
@@ -21,7 +22,7 @@
 // Below this share of the contract, loans may bring more.
 constexpr std::int64_t kNearlyFullPpb = kWholePpb / 10 * 9;
 
-// Far above any time that a message takes.
+// Records are kept far longer than any message takes.
 constexpr duration kRecordRetention = std::chrono::seconds(30);
 constexpr duration kCleanupInterval = std::chrono::seconds(5);
 
@@ -117,7 +118,7 @@
 token_search_result token_home::FindToken(const workspace_id& workspace,
                                           monotonic_time now) {
   DropOldRecords(now);
-  if (TakeSpareToken(workspace, now)) return admitted{};
+  if (TakeReceivedToken(workspace, now)) return admitted{};
   const entry_ref* home = HomeOf(workspace);
   if (home == nullptr || *home == self_) return no_remote_home{};
   workspace_requests& asked = asked_[workspace];
@@ -160,15 +161,15 @@
   if (limit == nullptr || limit->is_withdrawn) return grant_ignored{};
   if (grant.burst > limit->bucket.ContractBurst()) return grant_ignored{};
   if (now >= usable_until) return grant_ignored{};
-  asked->second.spare_until.push_back(usable_until);
+  asked->second.received_until.push_back(usable_until);
   return admitted{};
 }
 
-bool token_home::TakeSpareToken(const workspace_id& workspace,
-                                monotonic_time now) {
+bool token_home::TakeReceivedToken(const workspace_id& workspace,
+                                   monotonic_time now) {
   const auto asked = asked_.find(workspace);
   if (asked == asked_.end()) return false;
-  std::deque<monotonic_time>& spare = asked->second.spare_until;
+  std::deque<monotonic_time>& spare = asked->second.received_until;
   std::erase_if(spare, [now](monotonic_time until) { return until <= now; });
   if (spare.empty()) return false;
   spare.pop_front();
@@ -276,8 +277,9 @@
   return grants;
 }
 
-// Drops records that no message in flight can refer to any more. A repeated
-// request that arrives even later costs the home a token that nobody uses.
+// Drops expired token requests and tokens, and requesters unseen for
+// kRecordRetention. A repeated request that arrives even later costs the home a
+// token that nobody uses.
 void token_home::DropOldRecords(monotonic_time now) {
   if (now < next_cleanup_at_) return;
   next_cleanup_at_ = now + kCleanupInterval;
@@ -288,13 +290,13 @@
     std::erase_if(asked.sent, [now](const auto& item) {
       return item.second.usable_until <= now;
     });
-    std::erase_if(asked.spare_until,
+    std::erase_if(asked.received_until,
                   [now](monotonic_time until) { return until <= now; });
   }
   std::erase_if(asked_, [now](const auto& item) {
     const workspace_requests& asked = item.second;
     const bool is_paused = asked.refused && now < asked.refused->until;
-    return asked.sent.empty() && asked.spare_until.empty() && !is_paused;
+    return asked.sent.empty() && asked.received_until.empty() && !is_paused;
   });
 }
 
--- a/tests/protocol/fleet_limits_test.cc
+++ b/tests/protocol/fleet_limits_test.cc
@@ -100,7 +100,7 @@
   options.loss = 0.05;
   options.repeat = 0.05;
   options.lost_store_answers = 0.1;
-  // Some seeds reach the horizon of the floors.
+  // Even seeds run beyond the horizon of the floors.
   if (seed % 2 == 0) options.shares.floor_horizon = std::chrono::seconds(20);
   return options;
 }
@@ -194,8 +194,8 @@
     options.homes = true;
     options.longest_wait = citron::FromMilliseconds(150);
     options.view_lag = FromSeconds(1);
-    // The middle workspace has a home too, and enough tokens for counting
-    // errors.
+    // The middle workspace has a home too, and enough tokens for some to be
+    // counted twice.
     options.home.small_capacity = 20;
     const outcome one = RunSchedule(options, 15);
     sum.admitted += one.admitted;
@@ -223,7 +223,7 @@
 }
 
 // The same with cuts that outlast the leases: the other VMs take the leased
-// shares of those cut off, which must not be used on their side of the cut.
+// shares of the VMs cut off, which must no longer use them.
 BOOST_AUTO_TEST_CASE(LongCutsLetNoPartBeUsedTwice1) { RunLongCuts(101, 106); }
 BOOST_AUTO_TEST_CASE(LongCutsLetNoPartBeUsedTwice2) { RunLongCuts(107, 112); }
 
--- a/tests/protocol/loan_book_test.cc
+++ b/tests/protocol/loan_book_test.cc
@@ -26,7 +26,7 @@
 
 monotonic_time After(double seconds) { return kStart + FromSeconds(seconds); }
 
-// One of two entries that have half of a workspace each.
+// One of two entries that have half of a contract each.
 struct half_share_entry {
   explicit half_share_entry(const entry_ref& self, double leased_seconds = 1000)
       : limits(kStart), book(self, limits, loan_settings{}, 1) {
@@ -184,8 +184,9 @@
   BOOST_TEST(lender.Ppb(4.5) == kWholePpb / 4);
 }
 
-// A workspace has ten tokens for ten entries: shares below one token admit
-// nothing, so some entry must get several of them.
+// Shares below one token admit nothing, so some entry must get several of them.
+// Two entries have 0.75 tokens of capacity each: exactly one must lend its
+// whole share to the other.
 BOOST_AUTO_TEST_CASE(SharesBelowOneTokenAreYieldedInOneDirection) {
   half_share_entry one(kOne);
   half_share_entry two(kTwo);
--- a/tests/protocol/rate_limiter_test.cc
+++ b/tests/protocol/rate_limiter_test.cc
@@ -171,8 +171,9 @@
       alone.OnRequest(kDepot, late + FromSeconds(1), late, ignored)));
 }
 
-// Guards against rejecting callers of a VM that has just started inside their
-// contract: its share is known, and the lenders are cut off.
+// A VM has just started and no lender replies. A request inside the contract
+// waits until the share begins, whether the share is received before or only
+// then.
 BOOST_AUTO_TEST_CASE(StartedEntryWaitsForItsShare) {
   for (const bool is_share_received_late : {false, true}) {
     rate_limiter started(kSelf, Options(), 1, kStart);
@@ -197,8 +198,8 @@
   }
 }
 
-// Another entry requests a share of the contract; without local demand it gets
-// nearly all of it.
+// Another entry requests half of the contract; without local demand it gets all
+// that it requested.
 BOOST_AUTO_TEST_CASE(LendsShareWithoutLocalDemand) {
   AdvanceTime(500);
   const limit_actions actions = Limiter().OnMessage(
--- a/tests/protocol/token_bucket_test.cc
+++ b/tests/protocol/token_bucket_test.cc
@@ -36,7 +36,8 @@
   bucket.Advance(After(1));
   BOOST_TEST(bucket.Tokens() == 50.0, boost::test_tools::tolerance(1e-9));
   bucket.Advance(After(2.5));
-  // 100 at the deadline, and 5 more at the remaining share.
+  // 100 tokens at the deadline, which is the remaining capacity; the refill
+  // after it is dropped.
   BOOST_TEST(bucket.Tokens() == 100.0, boost::test_tools::tolerance(1e-9));
   token_bucket late(100, 1000, kStart);
   late.SetPart({2, kWholePpb / 2, After(2)}, kStart);
@@ -73,7 +74,8 @@
   bucket.SetPart({2, kWholePpb / 10 * 4, After(0.1)}, kStart);
   const auto at = bucket.NextTokenAt(kStart);
   BOOST_REQUIRE(at.has_value());
-  // 0.4 tokens until the lease ends, then 0.6 at a tenth of the rate.
+  // 0.5 tokens until the second part ends at 0.1 s, then 0.5 tokens at a tenth
+  // of the rate.
   BOOST_TEST(citron::ToSeconds(*at - kStart) == 0.6,
              boost::test_tools::tolerance(0.2));
   BOOST_TEST(!bucket.TryTake(*at - FromSeconds(0.001)));
--- a/tests/protocol/token_home_test.cc
+++ b/tests/protocol/token_home_test.cc
@@ -31,7 +31,7 @@
 entry_ref Entry(int i) { return {vm_id("vm" + std::to_string(i)), 0, 7}; }
 const entry_ref kStranger{vm_id("stranger"), 0, 7};
 
-// An entry with a tenth of the limits.
+// An entry with a tenth of each contract.
 struct entry_under_test {
   explicit entry_under_test(int i, double burst = 4)
       : ref(Entry(i)), limits(kStart), homes(ref, limits, {}) {
@@ -97,9 +97,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(WorkspaceMovesOnlyWhenItsHomeLeaves) {
-  std::vector<entry_ref> left = {Entry(0), Entry(1), Entry(2)};
-  std::erase(left, other->ref);
-  other->homes.SetLive(left);
+  std::vector<entry_ref> remaining = {Entry(0), Entry(1), Entry(2)};
+  std::erase(remaining, other->ref);
+  other->homes.SetLive(remaining);
   BOOST_TEST((*other->homes.HomeOf(kTiny) == home->ref));
   other->homes.SetLive({other->ref});
   BOOST_TEST((other->homes.RoleOf(kTiny) == home_role::kSelf));
@@ -112,8 +112,8 @@
   BOOST_TEST(grants[0].message.granted);
   BOOST_TEST(OtherAccepts(grants[0].message, After(1.1)));
   BOOST_TEST(!OtherAccepts(grants[0].message, After(1.1)));
-  BOOST_TEST(other->homes.TakeSpareToken(kTiny, After(1.1)));
-  BOOST_TEST(!other->homes.TakeSpareToken(kTiny, After(1.1)));
+  BOOST_TEST(other->homes.TakeReceivedToken(kTiny, After(1.1)));
+  BOOST_TEST(!other->homes.TakeReceivedToken(kTiny, After(1.1)));
 }
 
 // A link that repeats messages delivers a token request twice. The second must
@@ -124,13 +124,14 @@
   BOOST_TEST(ReplyOfHome(ask, After(1.06)).empty());
 }
 
-// A reply is delayed until its token is in the home's bucket again; used late,
-// the token would be one more than the burst.
+// A reply arrives when its token has expired for the requester. The home's
+// bucket gets the token's capacity back; used late, the token would be one more
+// than the burst.
 BOOST_AUTO_TEST_CASE(LateTokenIsLost) {
   const token_grants grants =
       ReplyOfHome(RequestFromOther(After(1)), After(1.05));
   BOOST_TEST(!OtherAccepts(grants[0].message, After(1.2)));
-  BOOST_TEST(!other->homes.TakeSpareToken(kTiny, After(1.2)));
+  BOOST_TEST(!other->homes.TakeReceivedToken(kTiny, After(1.2)));
 }
 
 BOOST_AUTO_TEST_CASE(SpareTokenServesTheNextRequestForAMoment) {
@@ -142,7 +143,7 @@
   const token_grants second =
       ReplyOfHome(RequestFromOther(After(2)), After(2.05));
   BOOST_TEST(OtherAccepts(second[0].message, After(2.1)));
-  BOOST_TEST(!other->homes.TakeSpareToken(kTiny, After(2.2)));
+  BOOST_TEST(!other->homes.TakeReceivedToken(kTiny, After(2.2)));
 }
 
 // All four tokens leave a home whose bucket refills while they are in flight.
