--- a/include/citron/dispatch/owner_driver.h
+++ b/include/citron/dispatch/owner_driver.h
@@ -38,8 +38,8 @@
   int ReservedSlots(const upstream_id& upstream) const {
     return ownership_.ReservedSlots(upstream);
   }
-  std::set<upstream_id> Owned() const { return ownership_.Owned(); }
-  monotonic_time Until() const { return ownership_.Until(); }
+  std::set<upstream_id> AssignedUpstreams() const { return ownership_.AssignedUpstreams(); }
+  monotonic_time SendDeadline() const { return ownership_.SendDeadline(); }
   vm_id OwnerOf(const upstream_id& upstream) const {
     return ownership_.OwnerOf(upstream);
   }
--- a/include/citron/policy/admission_wait.h
+++ b/include/citron/policy/admission_wait.h
@@ -76,8 +76,8 @@
   void Remove(const workspace_id& workspace, wait_ticket ticket);
 
   bool IsEmpty() const { return waiting_.empty(); }
-  std::size_t Waiting(const workspace_id& workspace) const;
-  std::vector<workspace_id> Workspaces() const;
+  std::size_t CountWaiting(const workspace_id& workspace) const;
+  std::vector<workspace_id> WaitingWorkspaces() const;
   // Returns the earliest time after `now` at which the oldest waiting request
   // of some workspace expects a token, if there is such a time.
   std::optional<monotonic_time> NextTokenAt(monotonic_time now) const;
--- a/include/citron/policy/affinity_selector.h
+++ b/include/citron/policy/affinity_selector.h
@@ -54,7 +54,7 @@
   duration latency_goal{};  // Zero: no goal.
   const std::set<region_id>* route_homes = nullptr;
   const std::set<region_id>* workspace_homes = nullptr;
-  const std::vector<upstream_id>* tried = nullptr;
+  const std::vector<upstream_id>* excluded_upstreams = nullptr;
 };
 
 enum class selection_error {
@@ -95,7 +95,7 @@
 
   // Records the service time of a request for which this VM counted a free slot
   // at the upstream, without the network delay in either direction.
-  void OnServed(duration service_time) {
+  void RecordServiceTime(duration service_time) {
     service_time_.AddSample(service_time);
   }
 
--- a/include/citron/policy/placement.h
+++ b/include/citron/policy/placement.h
@@ -76,7 +76,7 @@
   zone_id zone;
   region_id region;
   std::string reason;
-  std::vector<passed_over> others;
+  std::vector<passed_over> skipped_zones;
 };
 
 using place_result = std::variant<place_choice, refusal>;
@@ -96,7 +96,7 @@
   placement(placement_options options, std::uint64_t seed);
 
   void OnReport(const zone_report& report);
-  void Forget(const zone_id& zone, const service_id& service);
+  void RemoveZone(const zone_id& zone, const service_id& service);
   void SetShift(const service_id& service, std::optional<shift> s);
   void SetRegionDrained(const region_id& region, bool drained);
   // Sets this process's share of the link to each remote region, 0 to 1.
--- a/include/citron/policy/poison_registry.h
+++ b/include/citron/policy/poison_registry.h
@@ -28,8 +28,8 @@
 
   enum class standing { kClear, kSuspect, kPoison };
 
-  standing Of(std::uint64_t fingerprint, monotonic_time now) const;
-  monotonic_time Until(std::uint64_t fingerprint) const;
+  standing StandingOf(std::uint64_t fingerprint, monotonic_time now) const;
+  monotonic_time ExpiresAt(std::uint64_t fingerprint) const;
 
   // Records that the request, sent at `sent_at`, was in flight when the
   // upstream crashed, and returns its new standing. Fingerprint 0 means unknown
@@ -48,11 +48,11 @@
   void OnAnswered(std::uint64_t fingerprint, monotonic_time now);
   // Withdraws the crashes that are refuted by an answer to any request that was
   // sent to the upstream at `sent_at`: the upstream hasn't crashed since then.
-  void OnAlive(const upstream_id& upstream, monotonic_time sent_at,
+  void OnUpstreamAlive(const upstream_id& upstream, monotonic_time sent_at,
                monotonic_time now);
   // Records that another process convicted the request, or saw the request in
   // flight at a crash.
-  void OnPoison(std::uint64_t fingerprint, monotonic_time until);
+  void OnConvicted(std::uint64_t fingerprint, monotonic_time until);
   void OnSuspect(std::uint64_t fingerprint, const upstream_crash& crash,
                  monotonic_time now);
 
@@ -61,7 +61,7 @@
   // one suspect to each upstream.
 
   // Returns whether no request with this fingerprint is in flight as a suspect.
-  bool MaySend(std::uint64_t fingerprint) const;
+  bool MaySendSuspect(std::uint64_t fingerprint) const;
   bool HoldsSuspect(const upstream_id& upstream) const;
   void AddUpstreamsWithSuspects(std::vector<upstream_id>& upstreams) const;
   void OnSuspectSent(std::uint64_t fingerprint, const upstream_id& upstream);
--- a/include/citron/policy/vm_choice.h
+++ b/include/citron/policy/vm_choice.h
@@ -13,9 +13,9 @@
   vm_id id;
   zone_id zone;
   region_id region;
-  endpoint callers;
+  endpoint caller_endpoint;
   bool ready = true;  // The VM reports that it accepts requests.
-  bool heard = true;  // A recent report was received.
+  bool has_recent_report = true;  // A recent report was received.
   double link_mbps = 0;
   bool strained = false;  // The processor is near capacity.
 };
--- a/include/citron/protocol/ownership.h
+++ b/include/citron/protocol/ownership.h
@@ -142,7 +142,7 @@
                      monotonic_time now);
   actions OnLeave(monotonic_time now);
   // Sets the VMs that operators have declared dead.
-  actions OnGone(const std::set<vm_id>& gone, monotonic_time now);
+  actions OnDeclaredDead(const std::set<vm_id>& gone, monotonic_time now);
 
   // Must be called right before each send, with the time read right before.
   bool MaySend(const upstream_id& upstream, monotonic_time now) const;
@@ -150,8 +150,8 @@
   // at the hand-over, until all of them have ended.
   int ReservedSlots(const upstream_id& upstream) const;
   // Returns the time until which this process may send; may be in the past.
-  monotonic_time Until() const;
-  std::set<upstream_id> Owned() const;
+  monotonic_time SendDeadline() const;
+  std::set<upstream_id> AssignedUpstreams() const;
   // Returns the upstream's owner in the table last read; empty if unknown.
   vm_id OwnerOf(const upstream_id& upstream) const;
   const ownership_table& Table() const { return table_; }
--- a/include/citron/protocol/vm_registration.h
+++ b/include/citron/protocol/vm_registration.h
@@ -29,7 +29,7 @@
   monotonic_time NextAt() const { return next_call_at_; }
 
   void OnGranted(const lease_id& lease, monotonic_time now);
-  void OnWritten(monotonic_time now);
+  void OnRecordWritten(monotonic_time now);
   void OnRenewed(monotonic_time now);
   // The lease has expired, and the store has removed the record with it.
   void OnLapsed(monotonic_time now);
--- a/include/citron/protocol/workspace_quota.h
+++ b/include/citron/protocol/workspace_quota.h
@@ -68,7 +68,7 @@
   workspace_quota(const quota_options& options, monotonic_time now);
 
   // Sets the contract. Rate 0 means no limit.
-  void SetTerms(double rate_per_s, double burst, monotonic_time now);
+  void SetContract(double rate_per_s, double burst, monotonic_time now);
   // Sets the number of VMs that serve requests, including this VM.
   void SetFleetSize(int vms) { fleet_size_ = vms; }
   // Sets the maximum age of the other VMs' reports. The quota keeps room free
@@ -79,7 +79,7 @@
   void SetSilenceLimit(duration limit) { silence_limit_ = limit; }
   void OnReport(const vm_id& vm, const quota_report& report,
                 monotonic_time now);
-  void OnContact(const vm_id& vm, const quota_contact& contact);
+  void OnContactUpdate(const vm_id& vm, const quota_contact& contact);
   // The VM is listed: it no longer expires.
   void KeepVm(const vm_id& vm);
   // Another VM still receives reports of a VM that is no longer listed: extends
--- a/src/dispatch/dispatch_task.cc
+++ b/src/dispatch/dispatch_task.cc
@@ -154,7 +154,7 @@
 void dispatch_task::ContinueLeaving() {
   if (!left_) return;
   const monotonic_time now = MonotonicNow();
-  if (owner_->Owned().empty()) {
+  if (owner_->AssignedUpstreams().empty()) {
     for (const auto& [id, service] : services_) {
       Perform(*service, service->scheduler.Close(now));
     }
@@ -164,7 +164,7 @@
   if (busy) {
     give_back_deadline_ = std::max(give_back_deadline_, now + kGiveBackLimit);
   }
-  const bool owns = !owner_->Owned().empty() && now < give_back_deadline_;
+  const bool owns = !owner_->AssignedUpstreams().empty() && now < give_back_deadline_;
   if ((busy || owns) && !late) return;
   if (late && busy) {
     Log(kLogPart, "leaving at the drain limit with {} requests unfinished",
@@ -225,8 +225,8 @@
 // leaving when it comes back here; and its permits would let other regions send
 // beside those of the new owner, beyond the cap.
 std::set<upstream_id> dispatch_task::OwnedNow() const {
-  if (MonotonicNow() >= owner_->Until()) return {};
-  return owner_->Owned();
+  if (MonotonicNow() >= owner_->SendDeadline()) return {};
+  return owner_->AssignedUpstreams();
 }
 
 void dispatch_task::RefreshUpstreams() {
@@ -332,7 +332,7 @@
     return ReplyPlain(exchange, kServiceUnavailable,
                       RefusalName(refusal_reason::kUnknownService));
   }
-  if (leaving_ && owner_->Owned().empty()) {
+  if (leaving_ && owner_->AssignedUpstreams().empty()) {
     return ReplyPlain(exchange, kServiceUnavailable,
                       RefusalName(refusal_reason::kDraining));
   }
@@ -600,7 +600,7 @@
   }
   stats_.Set(
       "citron_dispatch_ownership_seconds_left", {},
-      ToSeconds(std::min(owner_->Until(), now + FromSeconds(1e6)) - now));
+      ToSeconds(std::min(owner_->SendDeadline(), now + FromSeconds(1e6)) - now));
   stats_.Set("citron_config_revision", {},
              static_cast<double>(link_->Config().revision));
   exchange.Reply(
--- a/src/dispatch/owner_driver.cc
+++ b/src/dispatch/owner_driver.cc
@@ -68,7 +68,7 @@
   for (const auto& [member, row] : ownership_.Table().members) {
     if (gone.contains(SplitMember(member).first)) gone.insert(member);
   }
-  Perform(ownership_.OnGone(gone, now));
+  Perform(ownership_.OnDeclaredDead(gone, now));
 }
 
 void owner_driver::OnInFlight(const upstream_id& upstream, int count) {
--- a/src/entry/entry_task.cc
+++ b/src/entry/entry_task.cc
@@ -758,7 +758,7 @@
   }
   const place_choice& choice = std::get<place_choice>(placed);
   std::string others;
-  for (const passed_over& other : choice.others) {
+  for (const passed_over& other : choice.skipped_zones) {
     fmt::format_to(std::back_inserter(others), "; not {}: {}", other.zone.Str(),
                    other.reason);
   }
--- a/src/node/crash_watch.cc
+++ b/src/node/crash_watch.cc
@@ -28,15 +28,15 @@
 
 crash_watch::standing crash_watch::Of(std::uint64_t fingerprint,
                                       monotonic_time now) const {
-  return registry_.Of(fingerprint, now);
+  return registry_.StandingOf(fingerprint, now);
 }
 
 monotonic_time crash_watch::Until(std::uint64_t fingerprint) const {
-  return registry_.Until(fingerprint);
+  return registry_.ExpiresAt(fingerprint);
 }
 
 bool crash_watch::MaySend(std::uint64_t fingerprint) const {
-  return registry_.MaySend(fingerprint);
+  return registry_.MaySendSuspect(fingerprint);
 }
 
 void crash_watch::AddUpstreamsWithSuspects(
@@ -76,7 +76,7 @@
 
 void crash_watch::OnAlive(const upstream_id& upstream, monotonic_time sent_at,
                           monotonic_time now) {
-  registry_.OnAlive(upstream, sent_at - kLeastRestart, now);
+  registry_.OnUpstreamAlive(upstream, sent_at - kLeastRestart, now);
 }
 
 void crash_watch::OnTold(const crash_report& report, monotonic_time now) {
--- a/src/node/fleet_state.cc
+++ b/src/node/fleet_state.cc
@@ -171,7 +171,7 @@
         quotas_.try_emplace(terms.id, workspace_quota(options, now)).first;
     const double tolerated =
         1 + kQuotaOvershootPart * settings_.bounds.quota_overshoot;
-    quota->second.SetTerms(terms.rate_per_s * tolerated, terms.burst, now);
+    quota->second.SetContract(terms.rate_per_s * tolerated, terms.burst, now);
   }
   std::erase_if(quotas_, [this](const auto& quota) {
     return std::none_of(
--- a/src/node/node_pages.cc
+++ b/src/node/node_pages.cc
@@ -86,7 +86,7 @@
   nlohmann::json addresses = nlohmann::json::array();
   for (const vm_candidate& vm : ChooseVms(candidates, zone, region)) {
     if (addresses.size() < kMostAddresses)
-      addresses.push_back(vm.callers.Str());
+      addresses.push_back(vm.caller_endpoint.Str());
   }
   const duration lifetime =
       std::min(kLookupLifetime, context_.settings.bounds.lookup_lifetime);
--- a/src/node/peer_exchange.cc
+++ b/src/node/peer_exchange.cc
@@ -273,7 +273,7 @@
     const auto line = told.find(workspace);
     quota.OnReport(report.vm,
                    line == told.end() ? quota_report{} : line->second, now);
-    quota.OnContact(report.vm, contact);
+    quota.OnContactUpdate(report.vm, contact);
     for (const vm_id& vm : report.heard_unlisted) {
       quota.OnHeardElsewhere(vm, now);
     }
--- a/src/node/proxied_request.cc
+++ b/src/node/proxied_request.cc
@@ -162,7 +162,7 @@
   }
   std::vector<upstream_id> left_out = tried_;
   if (suspect) context_.crashes.AddUpstreamsWithSuspects(left_out);
-  request.tried = &left_out;
+  request.excluded_upstreams = &left_out;
   const std::variant<selection, selection_error> chosen =
       selector == nullptr ? selection_error::kNoneKnown
                           : selector->Choose(request, now);
@@ -423,7 +423,7 @@
   if (sent_as_suspect_) context_.crashes.OnSuspectDone(fingerprint_, upstream_);
   const bool answered = outcome == upstream_outcome::kAnswered;
   if (selector != nullptr && answered && found_free_slot_) {
-    selector->OnServed(now - sent_at_ - round_trip_);
+    selector->RecordServiceTime(now - sent_at_ - round_trip_);
   }
   if (answered || outcome == upstream_outcome::kCancelled) return;
   context_.log.Write(
--- a/src/node/store_sync.cc
+++ b/src/node/store_sync.cc
@@ -236,7 +236,7 @@
   if (std::holds_alternative<write_done>(written)) {
     context_.log.Write("store", "listed", {{"vm", context_.settings.vm.Str()}},
                        now);
-    return registration_.OnWritten(now);
+    return registration_.OnRecordWritten(now);
   }
   const error* problem = std::get_if<error>(&written);
   OnLost("list",
--- a/src/policy/admission_wait.cc
+++ b/src/policy/admission_wait.cc
@@ -28,7 +28,7 @@
   const bool gets_local_token = token_at && *token_at < wait_ends_at;
   if (wait_ends_at <= now) return false;
   if (!gets_local_token && !prospects.may_borrow) return false;
-  if (Waiting(workspace) >= WaitingLimit(prospects.contract_rate_per_s)) {
+  if (CountWaiting(workspace) >= WaitingLimit(prospects.contract_rate_per_s)) {
     return false;
   }
   waiting_[workspace].push_back({ticket, wait_ends_at, token_at});
@@ -89,12 +89,12 @@
   if (found->second.empty()) waiting_.erase(found);
 }
 
-std::size_t admission_wait::Waiting(const workspace_id& workspace) const {
+std::size_t admission_wait::CountWaiting(const workspace_id& workspace) const {
   const auto found = waiting_.find(workspace);
   return found == waiting_.end() ? 0 : found->second.size();
 }
 
-std::vector<workspace_id> admission_wait::Workspaces() const {
+std::vector<workspace_id> admission_wait::WaitingWorkspaces() const {
   std::vector<workspace_id> workspaces;
   for (const auto& [workspace, waiting] : waiting_) {
     workspaces.push_back(workspace);
--- a/src/policy/affinity_selector.cc
+++ b/src/policy/affinity_selector.cc
@@ -19,9 +19,9 @@
 }
 
 bool WasTried(const selection_request& request, const upstream_id& id) {
-  if (request.tried == nullptr) return false;
-  return std::find(request.tried->begin(), request.tried->end(), id) !=
-         request.tried->end();
+  if (request.excluded_upstreams == nullptr) return false;
+  return std::find(request.excluded_upstreams->begin(), request.excluded_upstreams->end(), id) !=
+         request.excluded_upstreams->end();
 }
 
 }  // namespace
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -65,7 +65,7 @@
   }
 }
 
-void placement::Forget(const zone_id& zone, const service_id& service) {
+void placement::RemoveZone(const zone_id& zone, const service_id& service) {
   const auto found = zones_.find(service);
   if (found == zones_.end()) return;
   found->second.erase(zone);
@@ -235,7 +235,7 @@
     if (ineligible.empty()) {
       eligible.push_back(std::move(c));
     } else {
-      choice.others.push_back({id, std::move(ineligible)});
+      choice.skipped_zones.push_back({id, std::move(ineligible)});
     }
   }
   if (eligible.empty()) return std::nullopt;
@@ -258,7 +258,7 @@
     if (ineligible.empty()) {
       remote.push_back(std::move(c));
     } else {
-      choice.others.push_back({id, std::move(ineligible)});
+      choice.skipped_zones.push_back({id, std::move(ineligible)});
     }
   }
   while (!remote.empty()) {
@@ -269,7 +269,7 @@
     if (!earliest_refusal ||
         reserve_refusal->retry_at < earliest_refusal->retry_at)
       earliest_refusal = reserve_refusal;
-    choice.others.push_back(
+    choice.skipped_zones.push_back(
         {c.zone, std::string(RefusalName(reserve_refusal->reason))});
     std::erase_if(remote,
                   [&](const candidate& a) { return a.region == c.region; });
--- a/src/policy/poison_registry.cc
+++ b/src/policy/poison_registry.cc
@@ -63,7 +63,7 @@
       [&](const upstream_crash& known) { return IsSameCrash(known, crash); });
 }
 
-poison_registry::standing poison_registry::Of(std::uint64_t fingerprint,
+poison_registry::standing poison_registry::StandingOf(std::uint64_t fingerprint,
                                               monotonic_time now) const {
   const auto found = records_.find(fingerprint);
   if (found == records_.end() || found->second.until <= now) {
@@ -92,7 +92,7 @@
   return answers_.IsAnsweredSince(fingerprint, crash_at - kRecentAnswerWindow);
 }
 
-monotonic_time poison_registry::Until(std::uint64_t fingerprint) const {
+monotonic_time poison_registry::ExpiresAt(std::uint64_t fingerprint) const {
   const auto found = records_.find(fingerprint);
   return found == records_.end() ? monotonic_time() : found->second.until;
 }
@@ -103,7 +103,7 @@
                                                    monotonic_time now,
                                                    bool was_isolated) {
   if (fingerprint == 0) return standing::kClear;
-  const standing before = Of(fingerprint, now);
+  const standing before = StandingOf(fingerprint, now);
   if (before == standing::kClear &&
       HasAnswerSinceShortlyBefore(fingerprint, now)) {
     return standing::kClear;
@@ -123,7 +123,7 @@
     r.convicted = was_isolated;
   }
   r.until = std::max(r.until, now + lifetime_);
-  return Of(fingerprint, now);
+  return StandingOf(fingerprint, now);
 }
 
 void poison_registry::OnUnprovenCrash(std::uint64_t fingerprint,
@@ -133,7 +133,7 @@
   found->second.until = std::max(found->second.until, now + lifetime_);
 }
 
-void poison_registry::OnAlive(const upstream_id& upstream,
+void poison_registry::OnUpstreamAlive(const upstream_id& upstream,
                               monotonic_time sent_at, monotonic_time now) {
   for (auto next = records_.begin(); next != records_.end();) {
     const auto at = next++;
@@ -157,7 +157,7 @@
   }
 }
 
-void poison_registry::OnPoison(std::uint64_t fingerprint,
+void poison_registry::OnConvicted(std::uint64_t fingerprint,
                                monotonic_time until) {
   record& r = records_[fingerprint];
   r.convicted = true;
@@ -169,7 +169,7 @@
 void poison_registry::OnSuspect(std::uint64_t fingerprint,
                                 const upstream_crash& crash,
                                 monotonic_time now) {
-  if (Of(fingerprint, now) == standing::kClear) {
+  if (StandingOf(fingerprint, now) == standing::kClear) {
     if (HasAnswerSinceShortlyBefore(fingerprint, crash.at)) return;
     records_[fingerprint] = {};
   }
@@ -178,7 +178,7 @@
   r.until = std::max(r.until, crash.at + lifetime_);
 }
 
-bool poison_registry::MaySend(std::uint64_t fingerprint) const {
+bool poison_registry::MaySendSuspect(std::uint64_t fingerprint) const {
   return !in_flight_.contains(fingerprint);
 }
 
--- a/src/policy/service_scheduler.cc
+++ b/src/policy/service_scheduler.cc
@@ -106,9 +106,9 @@
                                         const queued_request& queue_item,
                                         monotonic_time now, actions& out) {
   using standing = poison_registry::standing;
-  if (poison_.Of(request.fingerprint, now) == standing::kPoison) {
+  if (poison_.StandingOf(request.fingerprint, now) == standing::kPoison) {
     Refuse(request.id, refusal_reason::kPoison,
-           poison_.Until(request.fingerprint), out);
+           poison_.ExpiresAt(request.fingerprint), out);
     return true;
   }
   if (chooser_.UsableUpstreams(now) == 0) {
@@ -174,7 +174,7 @@
   } else if (outcome == upstream_outcome::kAnswered ||
              outcome == upstream_outcome::kServerError) {
     poison_.OnAnswered(e.request.fingerprint, now);
-    poison_.OnAlive(e.last_upstream, e.sent_at, now);
+    poison_.OnUpstreamAlive(e.last_upstream, e.sent_at, now);
   }
   if (done) entries_.erase(id);
   Dispatch(now, out);
@@ -246,7 +246,7 @@
         e.upstream == upstream || e.last_upstream == upstream;
     const std::uint64_t fingerprint = e.request.fingerprint;
     if (may_have_been_there &&
-        poison_.Of(fingerprint, now) == standing::kSuspect) {
+        poison_.StandingOf(fingerprint, now) == standing::kSuspect) {
       last_crash_.suspects.insert(fingerprint);
     }
   }
@@ -268,7 +268,7 @@
   const std::set<std::uint64_t>& suspects =
       SuspectsAtCrash(e.last_upstream, now);
   return e.sent_as_suspect || suspects.size() <= 1 ||
-         poison_.Of(e.request.fingerprint, now) != standing::kSuspect;
+         poison_.StandingOf(e.request.fingerprint, now) != standing::kSuspect;
 }
 
 // The request may have run, so it can't wait in the queue: a request that
@@ -285,7 +285,7 @@
           ? poison_.OnCrash(fingerprint, e.last_upstream, e.sent_at, now)
           : standing::kSuspect;
   if (after == standing::kPoison) {
-    out.emplace_back(poison_action{fingerprint, poison_.Until(fingerprint)});
+    out.emplace_back(poison_action{fingerprint, poison_.ExpiresAt(fingerprint)});
     RefusePoisoned(fingerprint, now, out);
     return false;
   }
@@ -321,7 +321,7 @@
 service_scheduler::actions service_scheduler::OnPoison(
     std::uint64_t fingerprint, monotonic_time until, monotonic_time now) {
   actions out;
-  poison_.OnPoison(fingerprint, until);
+  poison_.OnConvicted(fingerprint, until);
   RefusePoisoned(fingerprint, now, out);
   Dispatch(now, out);
   return out;
@@ -333,7 +333,7 @@
   using standing = poison_registry::standing;
   actions out;
   poison_.OnSuspect(fingerprint, crash, now);
-  if (poison_.Of(fingerprint, now) == standing::kPoison) {
+  if (poison_.StandingOf(fingerprint, now) == standing::kPoison) {
     RefusePoisoned(fingerprint, now, out);
   }
   return out;
@@ -374,7 +374,7 @@
     const entry& e = entries_.at(id);
     if (e.request.fingerprint == fingerprint) waiting.push_back(id);
   }
-  const monotonic_time until = std::max(now, poison_.Until(fingerprint));
+  const monotonic_time until = std::max(now, poison_.ExpiresAt(fingerprint));
   for (const request_id& id : waiting) {
     RefuseWaiting(id, refusal_reason::kPoison, until, out);
   }
@@ -397,7 +397,7 @@
                                               monotonic_time now) const {
   if (!e.last_upstream.IsEmpty()) return true;
   if (poison_.IsEmpty()) return false;
-  return poison_.Of(e.request.fingerprint, now) ==
+  return poison_.StandingOf(e.request.fingerprint, now) ==
          poison_registry::standing::kSuspect;
 }
 
@@ -405,8 +405,8 @@
     const entry& e, monotonic_time now) {
   const std::uint64_t fingerprint = e.request.fingerprint;
   const bool suspect =
-      poison_.Of(fingerprint, now) == poison_registry::standing::kSuspect;
-  if (suspect && !poison_.MaySend(fingerprint)) return std::nullopt;
+      poison_.StandingOf(fingerprint, now) == poison_registry::standing::kSuspect;
+  if (suspect && !poison_.MaySendSuspect(fingerprint)) return std::nullopt;
   return chooser_.Choose(now, random_, [&](const upstream_id& id) {
     if (id == e.last_upstream) return false;
     return !suspect || !poison_.HoldsSuspect(id);
@@ -465,7 +465,7 @@
   e.sent_at = now;
   ++e.sends;
   e.sent_as_suspect =
-      !poison_.IsEmpty() && poison_.Of(e.request.fingerprint, now) ==
+      !poison_.IsEmpty() && poison_.StandingOf(e.request.fingerprint, now) ==
                                 poison_registry::standing::kSuspect;
   if (e.sent_as_suspect) poison_.OnSuspectSent(e.request.fingerprint, upstream);
   chooser_.OnSent(upstream, now);
--- a/src/policy/vm_choice.cc
+++ b/src/policy/vm_choice.cc
@@ -50,7 +50,7 @@
   };
   const filter anywhere = [](const vm_candidate&) { return true; };
   const filter ready_and_reporting = [](const vm_candidate& vm) {
-    return vm.ready && vm.heard;
+    return vm.ready && vm.has_recent_report;
   };
   const filter ready = [](const vm_candidate& vm) { return vm.ready; };
   for (const filter& health :
--- a/src/protocol/ownership.cc
+++ b/src/protocol/ownership.cc
@@ -274,7 +274,7 @@
   return out;
 }
 
-ownership::actions ownership::OnGone(const std::set<vm_id>& gone,
+ownership::actions ownership::OnDeclaredDead(const std::set<vm_id>& gone,
                                      monotonic_time now) {
   actions out;
   if (gone == dead_vms_) return out;
@@ -288,7 +288,7 @@
 // reused: the time is read right before the send and compared with bounds that
 // don't depend on the current time, so a pause can't make them stale.
 bool ownership::MaySend(const upstream_id& upstream, monotonic_time now) const {
-  if (now >= Until()) return false;
+  if (now >= SendDeadline()) return false;
   if (handovers_.contains(upstream)) return false;
   if (!IsAssignedToThisVm(table_, upstream)) return false;
   return std::all_of(pending_writes_.begin(), pending_writes_.end(),
@@ -304,7 +304,7 @@
   return assignment->second.draining_count;
 }
 
-monotonic_time ownership::Until() const {
+monotonic_time ownership::SendDeadline() const {
   const bool may_own =
       IsMember() && last_written_ && !left_ && !dead_vms_.contains(options_.vm);
   if (!may_own) return monotonic_time::min();
@@ -313,7 +313,7 @@
   return until;
 }
 
-std::set<upstream_id> ownership::Owned() const {
+std::set<upstream_id> ownership::AssignedUpstreams() const {
   std::set<upstream_id> owned;
   for (const auto& [upstream, assignment] : table_.assignments) {
     if (IsAssignedToThisVm(table_, upstream)) owned.insert(upstream);
@@ -698,9 +698,9 @@
 }
 
 void ownership::EmitChangeAndTimer(monotonic_time now, actions& out) {
-  const monotonic_time until = Until();
+  const monotonic_time until = SendDeadline();
   std::set<upstream_id> owned;
-  if (now < until) owned = Owned();
+  if (now < until) owned = AssignedUpstreams();
   if (owned != reported_owned_) {
     reported_owned_ = owned;
     out.emplace_back(ownership_changed{std::move(owned), until});
--- a/src/protocol/rate_limiter.cc
+++ b/src/protocol/rate_limiter.cc
@@ -106,7 +106,7 @@
     }
   }
   token_bucket& bucket = limits_.Find(workspace)->bucket;
-  prospects.own_token_at = bucket.NextTokenAt(now, waiting_.Waiting(workspace));
+  prospects.own_token_at = bucket.NextTokenAt(now, waiting_.CountWaiting(workspace));
   prospects.contract_rate_per_s = bucket.ContractRate();
   if (now < share_starts_at_) {
     prospects.share_begins_at = share_starts_at_;
@@ -224,7 +224,7 @@
 void rate_limiter::AdmitAllWaiting(monotonic_time now, limit_actions& actions) {
   if (options_.has_homes)
     Append(homes_.AnswerHeldRequests(limits_, now), actions);
-  for (const workspace_id& workspace : waiting_.Workspaces()) {
+  for (const workspace_id& workspace : waiting_.WaitingWorkspaces()) {
     AdmitWaiting(workspace, now, actions);
   }
 }
--- a/src/protocol/vm_registration.cc
+++ b/src/protocol/vm_registration.cc
@@ -28,7 +28,7 @@
   ScheduleNext(now);
 }
 
-void vm_registration::OnWritten(monotonic_time now) {
+void vm_registration::OnRecordWritten(monotonic_time now) {
   record_written_ = true;
   ScheduleNext(now + options_.renew_interval);
 }
--- a/src/protocol/workspace_quota.cc
+++ b/src/protocol/workspace_quota.cc
@@ -46,7 +46,7 @@
       reported_at_(now),
       demand_at_(now) {}
 
-void workspace_quota::SetTerms(double rate_per_s, double burst,
+void workspace_quota::SetContract(double rate_per_s, double burst,
                                monotonic_time now) {
   Refill(now);
   const bool first = rate_per_s_ == 0;
@@ -75,7 +75,7 @@
     other.gone_after = now + options_.expired_admission_time;
 }
 
-void workspace_quota::OnContact(const vm_id& vm, const quota_contact& contact) {
+void workspace_quota::OnContactUpdate(const vm_id& vm, const quota_contact& contact) {
   others_[vm].contact = contact;
 }
 
--- a/tests/policy/admission_wait_test.cc
+++ b/tests/policy/admission_wait_test.cc
@@ -27,7 +27,7 @@
   const auto admitted = wait.TakeAdmitted(kPenco, admit);
   BOOST_REQUIRE(admitted.size() == 1u);
   BOOST_TEST(NumberOf(admitted[0]) == 1);
-  BOOST_TEST(wait.Workspaces().size() == 1u);
+  BOOST_TEST(wait.WaitingWorkspaces().size() == 1u);
 }
 
 // Guards against a needless wait: a workspace over its rate keeps sending and
@@ -35,7 +35,7 @@
 BOOST_AUTO_TEST_CASE(NothingWaitsWithoutAnExpectedToken) {
   admission_wait wait({});
   BOOST_TEST(!wait.TryWait(kPenco, Id(1), kNoTokenExpected, kStart, kFar));
-  BOOST_TEST(wait.Workspaces().empty());
+  BOOST_TEST(wait.WaitingWorkspaces().empty());
 }
 
 // Guards against a rejection that asks for a retry after 0 ms: the bucket of a
--- a/tests/policy/affinity_selector_test.cc
+++ b/tests/policy/affinity_selector_test.cc
@@ -184,7 +184,7 @@
 BOOST_AUTO_TEST_CASE(TriedUpstreamsAreNotChosenAgain) {
   selection_request request = RequestForObject(5);
   std::vector<upstream_id> tried;
-  request.tried = &tried;
+  request.excluded_upstreams = &tried;
   std::set<std::string> seen;
   for (int i = 0; i < kUpstreams; ++i) {
     const std::string chosen = ChosenUpstream(request);
--- a/tests/policy/placement_test.cc
+++ b/tests/policy/placement_test.cc
@@ -159,7 +159,7 @@
   Report("s2", kSantiago, 16, milliseconds(100));
   Report("s2", kSantiago, 16, milliseconds(100));
   BOOST_TEST(ChosenZone() == "s2");
-  place.Forget(zone_id("s1"), kService);
+  place.RemoveZone(zone_id("s1"), kService);
   BOOST_TEST(ChosenZone() == "s2");
 }
 
--- a/tests/policy/poison_registry_test.cc
+++ b/tests/policy/poison_registry_test.cc
@@ -19,8 +19,8 @@
   poison_registry registry(seconds(60));
   BOOST_TEST((registry.OnCrash(7, kA, kNow, kNow) == standing::kSuspect));
   BOOST_TEST((registry.OnCrash(7, kB, kNow, kNow) == standing::kPoison));
-  BOOST_TEST((registry.Of(7, kNow + seconds(59)) == standing::kPoison));
-  BOOST_TEST((registry.Of(7, kNow + seconds(60)) == standing::kClear));
+  BOOST_TEST((registry.StandingOf(7, kNow + seconds(59)) == standing::kPoison));
+  BOOST_TEST((registry.StandingOf(7, kNow + seconds(60)) == standing::kClear));
 }
 
 // Two identical requests in flight at one crash count as one crash; a later
@@ -37,10 +37,10 @@
   poison_registry registry(seconds(60));
   registry.OnCrash(7, kA, kNow, kNow);
   registry.OnAnswered(7, kNow);
-  BOOST_TEST((registry.Of(7, kNow) == standing::kClear));
-  registry.OnPoison(8, kNow + seconds(5));
+  BOOST_TEST((registry.StandingOf(7, kNow) == standing::kClear));
+  registry.OnConvicted(8, kNow + seconds(5));
   registry.OnAnswered(8, kNow);
-  BOOST_TEST((registry.Of(8, kNow) == standing::kPoison));
+  BOOST_TEST((registry.StandingOf(8, kNow) == standing::kPoison));
   registry.Expire(kNow + seconds(5));
   BOOST_TEST(registry.IsEmpty());
 }
@@ -56,20 +56,20 @@
   // Neither a request sent after the loss nor an answer read at the time of the
   // loss refutes the crash.
   const monotonic_time answered = later + seconds(1);
-  registry.OnAlive(kB, later, answered);
-  registry.OnAlive(kB, later - seconds(1), later);
-  BOOST_TEST((registry.Of(7, later) == standing::kPoison));
-  registry.OnAlive(kB, later - seconds(1), answered);
-  BOOST_TEST((registry.Of(7, later) == standing::kSuspect));
-  registry.OnAlive(kA, kNow - seconds(1), answered);
-  BOOST_TEST((registry.Of(7, later) == standing::kClear));
+  registry.OnUpstreamAlive(kB, later, answered);
+  registry.OnUpstreamAlive(kB, later - seconds(1), later);
+  BOOST_TEST((registry.StandingOf(7, later) == standing::kPoison));
+  registry.OnUpstreamAlive(kB, later - seconds(1), answered);
+  BOOST_TEST((registry.StandingOf(7, later) == standing::kSuspect));
+  registry.OnUpstreamAlive(kA, kNow - seconds(1), answered);
+  BOOST_TEST((registry.StandingOf(7, later) == standing::kClear));
 }
 
 BOOST_AUTO_TEST_CASE(AnUnknownFingerprintIsNeverSuspected) {
   poison_registry registry(seconds(60));
   registry.OnCrash(0, kA, kNow, kNow);
   registry.OnCrash(0, kB, kNow, kNow);
-  BOOST_TEST((registry.Of(0, kNow) == standing::kClear));
+  BOOST_TEST((registry.StandingOf(0, kNow) == standing::kClear));
 }
 
 BOOST_AUTO_TEST_CASE(ASuspectOfAnotherProcessNeedsOneMoreCrash) {
@@ -84,7 +84,7 @@
   poison_registry registry(seconds(60));
   registry.OnCrash(7, kA, kNow, kNow);
   registry.OnSuspect(7, {kB, kNow - milliseconds(30)}, kNow);
-  BOOST_TEST((registry.Of(7, kNow) == standing::kPoison));
+  BOOST_TEST((registry.StandingOf(7, kNow) == standing::kPoison));
 }
 
 // Guards against two reports of one crash that count as two crashes.
@@ -92,9 +92,9 @@
   poison_registry registry(seconds(60));
   registry.OnSuspect(7, {kA, kNow}, kNow);
   registry.OnSuspect(7, {kA, kNow + milliseconds(40)}, kNow);
-  BOOST_TEST((registry.Of(7, kNow) == standing::kSuspect));
+  BOOST_TEST((registry.StandingOf(7, kNow) == standing::kSuspect));
   registry.OnSuspect(7, {kA, kNow + seconds(1)}, kNow + seconds(1));
-  BOOST_TEST((registry.Of(7, kNow + seconds(1)) == standing::kPoison));
+  BOOST_TEST((registry.StandingOf(7, kNow + seconds(1)) == standing::kPoison));
 }
 
 // Guards against a harmless request that is refused because it shared the
@@ -106,10 +106,10 @@
     registry.OnCrash(each, kA, kNow, kNow);
     registry.OnSuspect(each, {kB, kNow}, kNow);
   }
-  BOOST_TEST((registry.Of(7, kNow) == standing::kSuspect));
-  BOOST_TEST((registry.Of(8, kNow) == standing::kSuspect));
+  BOOST_TEST((registry.StandingOf(7, kNow) == standing::kSuspect));
+  BOOST_TEST((registry.StandingOf(8, kNow) == standing::kSuspect));
   registry.OnAnswered(8, kNow);
-  BOOST_TEST((registry.Of(7, kNow) == standing::kPoison));
+  BOOST_TEST((registry.StandingOf(7, kNow) == standing::kPoison));
 }
 
 // Guards against a request of many callers that is refused as poison because it
@@ -120,7 +120,7 @@
   const monotonic_time soon = kNow + seconds(1);
   BOOST_TEST((registry.OnCrash(7, kA, kNow, soon) == standing::kClear));
   registry.OnSuspect(7, {kB, soon}, soon);
-  BOOST_TEST((registry.Of(7, soon) == standing::kClear));
+  BOOST_TEST((registry.StandingOf(7, soon) == standing::kClear));
   const monotonic_time later = kNow + seconds(10);
   BOOST_TEST((registry.OnCrash(7, kA, later, later) == standing::kSuspect));
 }
@@ -128,12 +128,12 @@
 BOOST_AUTO_TEST_CASE(OneSuspectPerUpstreamAndOneRequestPerSuspect) {
   poison_registry registry(seconds(60));
   registry.OnSuspectSent(7, kA);
-  BOOST_TEST(!registry.MaySend(7));
-  BOOST_TEST(registry.MaySend(8));
+  BOOST_TEST(!registry.MaySendSuspect(7));
+  BOOST_TEST(registry.MaySendSuspect(8));
   BOOST_TEST(registry.HoldsSuspect(kA));
   BOOST_TEST(!registry.HoldsSuspect(kB));
   registry.OnSuspectDone(7, kA);
-  BOOST_TEST(registry.MaySend(7));
+  BOOST_TEST(registry.MaySendSuspect(7));
   BOOST_TEST(!registry.HoldsSuspect(kA));
 }
 
--- a/tests/policy/warm_simulation.h
+++ b/tests/policy/warm_simulation.h
@@ -218,7 +218,7 @@
       if (r.expected_free_slot) {
         const double observed_service_time_s =
             now_ - r.arrived - 2 * NetworkDelay(vms_[r.vm], u);
-        vms_[r.vm].selector->OnServed(FromSeconds(observed_service_time_s));
+        vms_[r.vm].selector->RecordServiceTime(FromSeconds(observed_service_time_s));
       }
       const bool in_goal = now_ - r.arrived <= plan_.latency_goal_s;
       Count(r, in_goal ? result_.in_goal : result_.late);
--- a/tests/protocol/ownership_test.cc
+++ b/tests/protocol/ownership_test.cc
@@ -427,7 +427,7 @@
     zone.Run(3);
     BOOST_TEST(zone.OwnedCount(1) == 0);
     if (is_declared_dead) {
-      zone.vms[1].machine->OnGone({fake_zone::Name(0)},
+      zone.vms[1].machine->OnDeclaredDead({fake_zone::Name(0)},
                                   zone.LocalNow(zone.vms[1]));
       zone.Run(1);
     } else {
--- a/tests/protocol/quota_simulation.h
+++ b/tests/protocol/quota_simulation.h
@@ -30,7 +30,7 @@
       : random_(seed), rate_(rate), burst_(burst), interval_(interval) {
     for (int i = 0; i < vms; ++i) {
       quotas_.emplace_back(quota_options{}, now_);
-      quotas_.back().SetTerms(rate, burst, now_);
+      quotas_.back().SetContract(rate, burst, now_);
       quotas_.back().SetFleetSize(vms);
       SetLimits(quotas_.back());
       last_received_.emplace_back(static_cast<std::size_t>(vms));
@@ -51,7 +51,7 @@
   void Restart(std::size_t first, std::size_t last) {
     for (std::size_t vm = first; vm < last; ++vm) {
       quotas_[vm] = workspace_quota(quota_options{}, now_);
-      quotas_[vm].SetTerms(rate_, burst_, now_);
+      quotas_[vm].SetContract(rate_, burst_, now_);
       quotas_[vm].SetFleetSize(static_cast<int>(quotas_.size()));
       SetLimits(quotas_[vm]);
       last_received_[vm].assign(quotas_.size(), {});
@@ -150,7 +150,7 @@
       for (std::size_t vm = 0; vm < quotas_.size(); ++vm) {
         if (!IsDelivered(m.from, vm)) continue;
         quotas_[vm].OnReport(VmId(m.from), m.report, now_);
-        quotas_[vm].OnContact(VmId(m.from),
+        quotas_[vm].OnContactUpdate(VmId(m.from),
                               {m.last_received[vm], now_ + interval_});
         last_received_[vm][m.from] = m.sent_at;
         for (const std::size_t unlisted : m.received_from_unlisted) {
--- a/tests/protocol/vm_registration_test.cc
+++ b/tests/protocol/vm_registration_test.cc
@@ -15,7 +15,7 @@
     BOOST_CHECK(registration_.Next(now_) == vm_registration::call::kGrant);
     registration_.OnGranted(lease_id("7"), now_);
     BOOST_CHECK(registration_.Next(now_) == vm_registration::call::kWrite);
-    registration_.OnWritten(now_);
+    registration_.OnRecordWritten(now_);
   }
 
   monotonic_time now_{std::chrono::hours(1)};
--- a/tests/protocol/workspace_quota_test.cc
+++ b/tests/protocol/workspace_quota_test.cc
@@ -148,7 +148,7 @@
 BOOST_AUTO_TEST_CASE(ShareOfAStoppedVmReturnsToTheOthers) {
   const monotonic_time start{std::chrono::hours(1)};
   workspace_quota quota(quota_options{}, start);
-  quota.SetTerms(100, 100, start);
+  quota.SetContract(100, 100, start);
   quota.SetFleetSize(2);
   const vm_id other("other");
   quota.KeepVm(other);
