--- a/include/citron/protocol/config_replica.h
+++ b/include/citron/protocol/config_replica.h
@@ -17,7 +17,7 @@
 
 namespace citron {
 
-// One object of the operators' configuration, or the tombstone of one.
+// An object of the operators' configuration, or its tombstone.
 struct config_item {
   std::string key;
   std::string value;  // JSON; empty when removed.
@@ -32,15 +32,15 @@
   config_revision from = 0;
   config_revision to = 0;
   config_revision head = 0;   // The sender's revision.
-  config_revision floor = 0;  // The sender forgot tombstones up to here.
+  config_revision floor = 0;  // The sender dropped tombstones up to here.
   std::vector<config_item> items;
-  bool full = false;      // The pages are a snapshot, not changes.
+  bool full = false;      // The page is part of a snapshot.
   bool complete = false;  // No page follows.
-  duration age{};         // How long ago the sender was known to be current.
+  duration age{};         // Time since the sender was known to be current.
 };
 
-// What a replica asks a peer for. A snapshot is asked for page by page with
-// `full` and the last page's `to`.
+// Request of a replica to a peer. A snapshot is requested page by page with
+// `full` and the `to` of the last page.
 struct pull_request {
   config_revision after_revision = 0;
   bool full = false;
@@ -48,12 +48,12 @@
 
 struct config_replica_options {
   std::size_t page_bytes = 65536;
-  // About a day of the fleet's changes, so that a VM that was cut off for
-  // hours still gets changes instead of a snapshot.
+  // About a day of the fleet's changes: a VM that was partitioned for hours
+  // still gets changes instead of a snapshot.
   std::size_t max_tombstones = 30000;
   duration pull_timeout = FromMilliseconds(2000);
-  // How old the replica's freshness may get before it asks a peer that is as
-  // far, but fresher.
+  // Age of the replica's freshness above which it pulls from a peer that has
+  // the same revision but is fresher.
   duration refresh_interval = FromMilliseconds(1000);
 };
 
@@ -64,26 +64,28 @@
   pull_request request;
 };
 
-// For the local daemons and the driver's own copy.
+// Change for the local daemons and the driver's local copy.
 struct apply {
   std::vector<config_item> changed;
   config_revision revision = 0;
 };
 
-// The store's events don't join on to the replica; list everything anew.
+// Requests a full listing: the store's events leave a gap after the replica's
+// revision.
 struct read_store_snapshot {};
 
 }  // namespace config_replica_action
 
-// Brings a daemon's configuration to where the change says. Of an object that
-// can't be read the old one stays: operators' tools check before they write,
-// and whatever else writes there must not take a running daemon's last good
-// object away. Says which were kept, one line each.
+// Applies `change` to `config`. An object that can't be parsed keeps its old
+// value: operators' tools check before they write, and any other writer must
+// not remove the last good object of a running daemon. Returns one line for
+// each object that was kept.
 std::vector<std::string> ApplyChange(const config_replica_action::apply& change,
                                      fleet_config& config);
 
-// The operators' configuration at one daemon, ordered by the store's revision:
-// it never goes back, neither as a whole nor for one object.
+// Replica of the operators' configuration at one daemon, ordered by the store's
+// revision. Neither the replica nor any single object reverts to an older
+// revision.
 class config_replica {
  public:
   using action = std::variant<config_replica_action::pull_from_peer,
@@ -93,25 +95,27 @@
 
   explicit config_replica(config_replica_options options = {});
 
-  // Every object of the store at `revision`. `asked` is when the question was
-  // sent: what the answer says was true at that time or later.
+  // Takes every object of the store at `revision`. `requested_at` is when the
+  // request was sent: the answer was true at that time or later.
   actions OnStoreSnapshot(const std::vector<config_item>& items,
-                          config_revision revision, monotonic_time asked,
+                          config_revision revision, monotonic_time requested_at,
                           monotonic_time now);
-  // A watch's answer: all changes in (after, revision]; may be none.
+  // Takes the answer of a watch: all changes in (after, revision], possibly
+  // none.
   actions OnStoreEvents(config_revision after,
                         const std::vector<config_item>& events,
-                        config_revision revision, monotonic_time asked,
+                        config_revision revision, monotonic_time requested_at,
                         monotonic_time now);
   void OnStoreUnreachable(monotonic_time now);
 
-  // A peer's heartbeat: its revision, and how long ago it was current.
+  // Takes a peer's heartbeat: its revision and the time since it was known to
+  // be current.
   actions OnPeerRevision(const vm_id& peer, config_revision revision,
                          duration age, monotonic_time now);
-  // `asked` is when the pull was sent.
+  // `requested_at` is when the pull was sent.
   actions OnPeerDelta(const vm_id& peer, const config_delta& delta,
-                      monotonic_time asked, monotonic_time now);
-  // The page to answer with.
+                      monotonic_time requested_at, monotonic_time now);
+  // Returns the page that answers `request`.
   config_delta OnPullRequest(const pull_request& request,
                              monotonic_time now) const;
 
@@ -119,7 +123,7 @@
   // The last moment at which this replica is known to have been current;
   // monotonic_time::min() when it never was.
   monotonic_time FreshAsOf() const { return fresh_as_of_; }
-  // How long ago that was, for heartbeats.
+  // Time since FreshAsOf(), for heartbeats.
   duration Age(monotonic_time now) const;
   bool StoreReachable() const { return store_reachable_; }
   // Live objects, key to value.
@@ -137,7 +141,8 @@
     vm_id vm;
     monotonic_time expires_at;
   };
-  // Pages of a snapshot, kept apart until the last one is there.
+  // Pages of a snapshot, held back from the replica until the last page
+  // arrives.
   struct snapshot_in_progress {
     vm_id vm;
     config_revision cursor = 0;
@@ -145,16 +150,16 @@
     std::vector<config_item> items;
   };
 
-  bool TakeItem(const config_item& item);
+  bool StoreItem(const config_item& item);
   void RemoveAbsent(const std::set<std::string_view>& present,
                     config_revision revision, std::vector<config_item>& out);
-  void ForgetOldTombstones();
-  actions TakeSnapshot(const std::vector<config_item>& items,
-                       config_revision revision);
-  actions TakeChanges(const std::vector<config_item>& items,
-                      config_revision revision);
+  void DropOldTombstones();
+  actions ApplySnapshot(const std::vector<config_item>& items,
+                        config_revision revision);
+  actions ApplyDelta(const std::vector<config_item>& items,
+                     config_revision revision);
   actions OnSnapshotPage(const vm_id& peer, const config_delta& delta,
-                         monotonic_time asked, monotonic_time now);
+                         monotonic_time requested_at, monotonic_time now);
   actions Pull(const vm_id& peer, pull_request request, monotonic_time now);
   pull_request NextRequest() const;
   void RaiseFreshness(monotonic_time at);
--- a/src/protocol/config_replica.cc
+++ b/src/protocol/config_replica.cc
@@ -13,21 +13,21 @@
 using config_replica_action::pull_from_peer;
 using config_replica_action::read_store_snapshot;
 
-// Key, value and the fields around them in a message.
+// Size of the key, the value and the fields around them in a message.
 std::size_t WireBytes(const config_item& item) {
   static constexpr std::size_t kFieldBytes = 16;
   return item.key.size() + item.value.size() + kFieldBytes;
 }
 
-bool InOrder(const config_delta& delta) {
+bool HasOrderedRevisions(const config_delta& delta) {
   return delta.from <= delta.to && delta.to <= delta.head &&
          delta.floor <= delta.head && delta.age >= duration::zero();
 }
 
-// A page from a faulty or hostile peer must not mark revisions as taken that
-// it doesn't cover: the replica would miss those changes for good.
+// A page from a faulty or hostile peer must not mark revisions as applied that
+// the page doesn't cover: the replica would miss those changes for good.
 bool IsWellFormed(const config_delta& delta) {
-  if (!InOrder(delta)) return false;
+  if (!HasOrderedRevisions(delta)) return false;
   if (delta.complete && delta.to != delta.head) return false;
   return std::all_of(delta.items.begin(), delta.items.end(),
                      [&](const config_item& item) {
@@ -43,26 +43,26 @@
 
 config_replica::actions config_replica::OnStoreSnapshot(
     const std::vector<config_item>& items, config_revision revision,
-    monotonic_time asked, monotonic_time) {
+    monotonic_time requested_at, monotonic_time) {
   store_reachable_ = true;
-  // A listing that was overtaken by a peer's delta, or a store that was set
-  // back: an accepted configuration doesn't revert, so it is not taken, and it
-  // says nothing about how fresh this replica is.
+  // The listing is older than a peer's delta, or the store was set back. An
+  // accepted configuration doesn't revert, so the listing is dropped and
+  // doesn't raise the freshness.
   if (revision < revision_) return {};
-  RaiseFreshness(asked);
-  return TakeSnapshot(items, revision);
+  RaiseFreshness(requested_at);
+  return ApplySnapshot(items, revision);
 }
 
 config_replica::actions config_replica::OnStoreEvents(
     config_revision after, const std::vector<config_item>& events,
-    config_revision revision, monotonic_time asked, monotonic_time) {
+    config_revision revision, monotonic_time requested_at, monotonic_time) {
   store_reachable_ = true;
-  // The store has thrown away changes that this replica never saw. Taking the
-  // later ones alone would leave a withdrawn key valid for ever.
+  // The store dropped changes that this replica never received. Applying only
+  // the later ones would leave a withdrawn key valid for ever.
   if (after > revision_) return {read_store_snapshot{}};
   if (revision < revision_) return {};
-  RaiseFreshness(asked);
-  return TakeChanges(events, revision);
+  RaiseFreshness(requested_at);
+  return ApplyDelta(events, revision);
 }
 
 void config_replica::OnStoreUnreachable(monotonic_time) {
@@ -76,8 +76,9 @@
   if (revision > revision_) return Pull(peer, NextRequest(), now);
   const bool was_current = age >= duration::zero() && age != duration::max();
   if (revision < revision_ || !was_current) return {};
-  // The heartbeat may have waited in a frozen process, so its age is not
-  // believed; the answer to a question is, counted from the question.
+  // A heartbeat may have waited in a frozen process, so its age doesn't raise
+  // the freshness. The age in the answer to a pull does, counted from the time
+  // of the pull.
   const bool is_stale = fresh_as_of_ == monotonic_time::min() ||
                         now - fresh_as_of_ > options_.refresh_interval;
   const bool peer_is_fresher = age + options_.refresh_interval / 2 < Age(now);
@@ -87,17 +88,17 @@
 
 config_replica::actions config_replica::OnPeerDelta(const vm_id& peer,
                                                     const config_delta& delta,
-                                                    monotonic_time asked,
+                                                    monotonic_time requested_at,
                                                     monotonic_time now) {
   if (pull_ && pull_->vm == peer) pull_.reset();
   if (!IsWellFormed(delta)) return {};
-  if (delta.full) return OnSnapshotPage(peer, delta, asked, now);
-  // A gap: an earlier page was lost. The changes in it are still asked for, as
-  // the revision isn't raised.
+  if (delta.full) return OnSnapshotPage(peer, delta, requested_at, now);
+  // An earlier page was lost. The revision isn't raised, so a later pull still
+  // requests the changes of that page.
   if (delta.from > revision_) return {};
-  actions out = TakeChanges(delta.items, delta.to);
+  actions out = ApplyDelta(delta.items, delta.to);
   if (delta.complete && delta.to >= revision_) {
-    if (delta.age != duration::max()) RaiseFreshness(asked - delta.age);
+    if (delta.age != duration::max()) RaiseFreshness(requested_at - delta.age);
     return out;
   }
   if (delta.head > revision_) {
@@ -108,10 +109,10 @@
   return out;
 }
 
-// The pages of a snapshot are taken together or not at all: with half of the
-// contracts in force a VM would refuse callers whose keys are valid.
+// Applies the pages of a snapshot together or not at all: with half of the
+// contracts in force a VM would reject callers whose keys are valid.
 config_replica::actions config_replica::OnSnapshotPage(
-    const vm_id& peer, const config_delta& delta, monotonic_time asked,
+    const vm_id& peer, const config_delta& delta, monotonic_time requested_at,
     monotonic_time now) {
   if (delta.head < revision_) return {};
   if (delta.from == 0) {
@@ -120,8 +121,8 @@
   if (!snapshot_ || snapshot_->vm != peer || snapshot_->cursor != delta.from) {
     return {};
   }
-  // A key of an earlier page was removed meanwhile and its tombstone is
-  // forgotten already: it would stay for ever. Begin again.
+  // A key of an earlier page may have been removed meanwhile and its tombstone
+  // dropped; the key would stay for ever. Restarts the snapshot.
   if (delta.floor > snapshot_->head_at_start) {
     snapshot_.reset();
     return Pull(peer, NextRequest(), now);
@@ -142,8 +143,8 @@
     if (!item->removed) live.push_back(*item);
   }
   snapshot_.reset();
-  if (delta.age != duration::max()) RaiseFreshness(asked - delta.age);
-  return TakeSnapshot(live, delta.to);
+  if (delta.age != duration::max()) RaiseFreshness(requested_at - delta.age);
+  return ApplySnapshot(live, delta.to);
 }
 
 config_delta config_replica::OnPullRequest(const pull_request& request,
@@ -165,8 +166,8 @@
   for (auto it = by_revision_.lower_bound({page.from + 1, {}});
        it != by_revision_.end(); ++it) {
     const auto found = items_.find(it->second);
-    // A page ends between two revisions, never inside one: the asker goes on
-    // after the revision of the last item.
+    // A page ends between two revisions, never inside one: the next pull
+    // continues after the revision of the last item.
     const bool same_revision = it->first == page.to;
     if (bytes > options_.page_bytes && !same_revision) return page;
     const stored_item& item = found->second;
@@ -192,11 +193,11 @@
   return objects;
 }
 
-// A repeated or late change is dropped: without that a withdrawn key would
-// come back with the late delta. The object's own revision doesn't tell when
-// its tombstone is forgotten already, the replica's does: it has everything up
-// to there.
-bool config_replica::TakeItem(const config_item& item) {
+// Drops a repeated or late change, which would restore a withdrawn key. The
+// replica's revision is checked as well as the object's, because the object's
+// is gone with a dropped tombstone; the replica has every change up to its
+// revision.
+bool config_replica::StoreItem(const config_item& item) {
   if (item.revision <= revision_) return false;
   const auto found = items_.find(item.key);
   if (found != items_.end()) {
@@ -227,16 +228,16 @@
     if (item.removed || item.revision > revision || present.contains(key)) {
       continue;
     }
-    // When it was removed isn't known; it was at the snapshot's revision at
-    // the latest, and not put back up to then.
+    // The revision of the removal isn't known. The object was removed at the
+    // snapshot's revision at the latest, and not restored up to then.
     removed.push_back(config_item{key, "", revision, true});
   }
   for (const config_item& item : removed) {
-    if (TakeItem(item)) out.push_back(item);
+    if (StoreItem(item)) out.push_back(item);
   }
 }
 
-config_replica::actions config_replica::TakeSnapshot(
+config_replica::actions config_replica::ApplySnapshot(
     const std::vector<config_item>& items, config_revision revision) {
   if (revision <= revision_) return {};
   std::vector<config_item> changed;
@@ -244,31 +245,31 @@
   for (const config_item& item : items) {
     if (item.revision > revision || item.removed) continue;
     present.insert(item.key);
-    if (TakeItem(item)) changed.push_back(item);
+    if (StoreItem(item)) changed.push_back(item);
   }
   RemoveAbsent(present, revision, changed);
-  // Removals before the snapshot are not in it, so this replica can't tell an
-  // older peer which keys to drop: it must send a snapshot as well.
+  // A snapshot doesn't list earlier removals, so this replica can't report them
+  // to an older peer and must send it a snapshot as well.
   tombstone_floor_ = std::max(tombstone_floor_, revision);
   revision_ = revision;
-  ForgetOldTombstones();
+  DropOldTombstones();
   return {apply{std::move(changed), revision_}};
 }
 
-config_replica::actions config_replica::TakeChanges(
+config_replica::actions config_replica::ApplyDelta(
     const std::vector<config_item>& items, config_revision revision) {
   if (revision <= revision_) return {};
   std::vector<config_item> changed;
   for (const config_item& item : items) {
     if (item.revision > revision) continue;
-    if (TakeItem(item)) changed.push_back(item);
+    if (StoreItem(item)) changed.push_back(item);
   }
   revision_ = revision;
-  ForgetOldTombstones();
+  DropOldTombstones();
   return {apply{std::move(changed), revision_}};
 }
 
-void config_replica::ForgetOldTombstones() {
+void config_replica::DropOldTombstones() {
   while (tombstones_ > options_.max_tombstones) {
     const auto oldest = *tombstone_order_.begin();
     tombstone_floor_ = std::max(tombstone_floor_, oldest.first);
@@ -279,14 +280,14 @@
   }
 }
 
-// Without any configuration a snapshot is asked for, as its pages are taken
-// together.
+// Requests a snapshot when the replica is empty, since the pages of a snapshot
+// are applied together.
 pull_request config_replica::NextRequest() const {
   return pull_request{revision_, revision_ == 0};
 }
 
-// One question at a time: a VM that comes back after an outage hears from all
-// its peers at once, and would get the same changes from each of them.
+// Allows one pull in flight: a VM that returns after an outage receives
+// heartbeats from all peers at once and would pull the same changes from each.
 config_replica::actions config_replica::Pull(const vm_id& peer,
                                              pull_request request,
                                              monotonic_time now) {
--- a/tests/protocol/config_replica_test.cc
+++ b/tests/protocol/config_replica_test.cc
@@ -34,17 +34,17 @@
   return nullptr;
 }
 
-// Asks and answers until the asker wants nothing more.
-void PullAll(config_replica& asker, const config_replica& peer,
+// Exchanges pages until the puller sends no further pull.
+void PullAll(config_replica& puller, const config_replica& peer,
              monotonic_time now) {
-  auto todo = asker.OnPeerRevision(kPeer, peer.Revision(), peer.Age(now), now);
+  auto todo = puller.OnPeerRevision(kPeer, peer.Revision(), peer.Age(now), now);
   while (const auto* pull = Find<pull_from_peer>(todo)) {
     const config_delta page = peer.OnPullRequest(pull->request, now);
-    todo = asker.OnPeerDelta(kPeer, page, now, now);
+    todo = puller.OnPeerDelta(kPeer, page, now, now);
   }
 }
 
-// The store of operators' changes, and what a watch of it answers.
+// Store of the operators' configuration with the log that a watch reads.
 struct fake_store {
   std::map<std::string, config_item> items;
   std::vector<config_item> log;
@@ -73,8 +73,8 @@
 
 }  // namespace
 
-// A listing of the store that was asked for before a key was withdrawn comes
-// in late. If it were taken, the withdrawn key would work again.
+// A listing of the store that was requested before a key was withdrawn arrives
+// late. Applying it would make the withdrawn key valid again.
 BOOST_AUTO_TEST_CASE(LateSnapshotDoesNotRevert) {
   config_replica replica;
   replica.OnStoreSnapshot({Item("key/a", 3)}, 5, At(0), At(0));
@@ -86,9 +86,9 @@
   BOOST_TEST(replica.Objects().empty());
 }
 
-// The store forgot changes while this VM was cut off from it. Taking only the
-// later ones would keep a withdrawn key for good.
-BOOST_AUTO_TEST_CASE(GapInEventsAsksForSnapshot) {
+// The store dropped changes while this VM was partitioned from it. Applying
+// only the later ones would keep a withdrawn key for good.
+BOOST_AUTO_TEST_CASE(GapInEventsRequestsSnapshot) {
   config_replica replica;
   replica.OnStoreSnapshot({Item("key/a", 3)}, 5, At(0), At(0));
   const auto out =
@@ -98,8 +98,8 @@
   BOOST_TEST((replica.FreshAsOf() == At(0)));
 }
 
-// A VM starts while the store is down and takes the configuration from a peer,
-// in pages. Half a configuration would refuse callers with valid keys.
+// A VM starts while the store is down and pulls the configuration from a peer
+// in pages. A partial configuration would reject callers with valid keys.
 BOOST_AUTO_TEST_CASE(NewVmStartsFromPeerAllAtOnce) {
   config_replica_options small;
   small.page_bytes = 60;
@@ -118,30 +118,31 @@
   }
   BOOST_TEST(pages > 3);
   BOOST_TEST((fresh.Objects() == peer.Objects()));
-  // It is as fresh as the peer, not as the peer's answer.
+  // The new replica is as fresh as the peer, not as the peer's answer.
   BOOST_TEST((fresh.FreshAsOf() == At(0)));
 }
 
-// A replica was away so long that the peer forgot which keys were removed. The
-// key that it still has must go when it hears from the peer.
+// A replica was partitioned until its peer dropped the tombstones of removed
+// keys. The replica must still remove these keys when it pulls from the peer.
 BOOST_AUTO_TEST_CASE(ForgottenTombstoneNeedsSnapshot) {
   config_replica_options few;
   few.max_tombstones = 1;
   config_replica peer(few);
-  config_replica away;
+  config_replica outdated;
   peer.OnStoreEvents(0, {Item("key/a", 1), Item("key/b", 2)}, 2, At(0), At(0));
-  away.OnStoreEvents(0, {Item("key/a", 1), Item("key/b", 2)}, 2, At(0), At(0));
+  outdated.OnStoreEvents(0, {Item("key/a", 1), Item("key/b", 2)}, 2, At(0),
+                         At(0));
   peer.OnStoreEvents(2, {Removed("key/a", 3), Removed("key/b", 4)}, 4, At(1),
                      At(1));
   BOOST_TEST(peer.TombstoneCount() == 1u);
-  PullAll(away, peer, At(2));
-  BOOST_TEST(away.Revision() == 4u);
-  BOOST_TEST(away.Objects().empty());
+  PullAll(outdated, peer, At(2));
+  BOOST_TEST(outdated.Revision() == 4u);
+  BOOST_TEST(outdated.Objects().empty());
 }
 
-// A cut-off VM hears heartbeats from a peer that is cut off too. Neither may
-// make the other believe that it is current: keys would be taken for ever.
-BOOST_AUTO_TEST_CASE(CutOffPeersDoNotRefreshEachOther) {
+// Two VMs that are partitioned from the store exchange heartbeats. Neither may
+// raise the other's freshness: withdrawn keys would be accepted for ever.
+BOOST_AUTO_TEST_CASE(PartitionedPeersDoNotRefreshEachOther) {
   config_replica a;
   config_replica b;
   a.OnStoreEvents(0, {Item("x", 1)}, 1, At(0), At(0));
@@ -155,7 +156,7 @@
 }
 
 // A peer claims a revision that its page doesn't cover, or sends items outside
-// of the page.
+// the page's range.
 BOOST_AUTO_TEST_CASE(MalformedDeltaIsDropped) {
   config_replica replica;
   config_delta bad;
@@ -168,9 +169,9 @@
   BOOST_TEST(replica.Revision() == 0u);
 }
 
-// Messages between five VMs are lost, repeated and late, the store goes away
-// and comes back, and the VMs are restarted in turn. A change that was once in
-// force on a VM must stay so, and in the end all have the same.
+// Messages between five VMs are lost, repeated and late, the store is
+// unreachable at times, and VMs restart at random. A change that is in force on
+// a running VM must not revert, and in the end all VMs have the same objects.
 BOOST_AUTO_TEST_CASE(RandomFaultsNeverRevertAndConverge) {
   struct message {
     int to;
@@ -186,21 +187,21 @@
     fake_store store;
     std::vector<config_replica> vms(kVms, config_replica(options));
     std::vector<std::map<std::string, config_revision>> highest(kVms);
-    std::vector<config_revision> whole(kVms);
+    std::vector<config_revision> applied_revision(kVms);
     std::vector<message> network;
     double time = 0;
-    const auto look = [&](int vm, const config_replica::actions& out) {
-      const auto* news = Find<apply>(out);
-      if (news == nullptr) return;
-      BOOST_REQUIRE_GE(news->revision, whole[vm]);
-      whole[vm] = news->revision;
-      for (const config_item& item : news->changed) {
+    const auto check_applied = [&](int vm, const config_replica::actions& out) {
+      const auto* applied = Find<apply>(out);
+      if (applied == nullptr) return;
+      BOOST_REQUIRE_GE(applied->revision, applied_revision[vm]);
+      applied_revision[vm] = applied->revision;
+      for (const config_item& item : applied->changed) {
         BOOST_REQUIRE_GT(item.revision, highest[vm][item.key]);
         highest[vm][item.key] = item.revision;
       }
     };
     const auto handle = [&](int vm, const config_replica::actions& out) {
-      look(vm, out);
+      check_applied(vm, out);
       const auto* pull = Find<pull_from_peer>(out);
       if (pull == nullptr) return;
       const int peer = std::stoi(pull->vm.Str());
@@ -218,19 +219,19 @@
       if (faulty && random(60) == 0) {
         vms[vm] = config_replica(options);
         highest[vm].clear();
-        whole[vm] = 0;
+        applied_revision[vm] = 0;
       }
       if (store_up && random(6) == 0) {
-        look(vm, vms[vm].OnStoreSnapshot(store.All(), store.revision, At(time),
-                                         At(time)));
+        check_applied(vm, vms[vm].OnStoreSnapshot(store.All(), store.revision,
+                                                  At(time), At(time)));
       }
       if (store_up && random(4) == 0) {
         const config_revision after = vms[vm].Revision();
         std::vector<config_item> events(
             store.log.begin() + static_cast<std::ptrdiff_t>(after),
             store.log.end());
-        look(vm, vms[vm].OnStoreEvents(after, events, store.revision, At(time),
-                                       At(time)));
+        check_applied(vm, vms[vm].OnStoreEvents(after, events, store.revision,
+                                                At(time), At(time)));
       }
       handle(vm, vms[vm].OnPeerRevision(vm_id(std::to_string(peer)),
                                         vms[peer].Revision(),
