--- a/include/citron/protocol/fleet_feed.h
+++ b/include/citron/protocol/fleet_feed.h
@@ -9,96 +9,113 @@
 namespace citron {
 
 struct feed_options {
-  // A watch that was answered is not asked again sooner: changes come in rows,
-  // and each call is paid for. In a small fleet a change is known everywhere
-  // after a third of a second; with more VMs each change costs more calls, and
-  // each VM waits longer, up to less than half of what the bounds allow.
-  duration least_interval = FromMilliseconds(300);
-  duration longest_interval = FromMilliseconds(1100);
-  int small_fleet = 12;  // VMs.
-  // How long a watch waits in the store where nothing changes. Its end is a
-  // call and a proof that the copy is current; longer ones would leave a VM
-  // without a proof for more than half of what revocation allows.
+  // Least time between two calls that are answered: changes come in bursts, and
+  // each call is paid for. In a small fleet a change reaches all VMs after a
+  // third of a second. With more VMs each change costs more calls, so the
+  // interval grows, up to less than half of what the bounds allow.
+  duration min_interval = FromMilliseconds(300);
+  duration max_interval = FromMilliseconds(1100);
+  // Number of VMs up to which min_interval applies.
+  int small_fleet = 12;
+  // Time that a watch waits in the store while nothing changes. Each watch is a
+  // call, and its end proves that the local copy is current. A longer wait
+  // would leave a VM without a proof for more than half of what revocation
+  // allows.
   duration watch_wait = FromMilliseconds(2000);
-  // The same of a VM that others ask: what they know is older by their own
-  // questions, and has to be young enough all the same.
+  // Wait of a watch on a VM that other VMs read from. Their proofs are older by
+  // the time of their own requests and must still be young enough.
   duration shared_watch_wait = FromMilliseconds(800);
-  // How long a question to another VM waits there for changes.
+  // Time that a request to another VM waits there for changes.
   duration relay_wait = FromMilliseconds(500);
-  // A watch that ends with a change proves only its beginning: the next one
-  // waits less, so that the proof is never older than this and an answer.
-  duration oldest_proof = FromMilliseconds(2400);
-  duration least_wait = FromMilliseconds(100);
+  // Limit of the proof's age, apart from the time that an answer takes. A watch
+  // that ends with a change proves only its start, so the next watch waits
+  // less.
+  duration max_proof_age = FromMilliseconds(2400);
+  duration min_wait = FromMilliseconds(100);
   duration retry_interval = FromMilliseconds(300);
-  // What is missing after an outage may still come back for this long.
-  duration lapse_grace = FromMilliseconds(2100);
+  // Time after an outage for which missing entries may still be written again.
+  duration expiry_grace = FromMilliseconds(2100);
 };
 
-// Keeps a VM's copy of the store current: says which call comes next, and how
-// current the copy is proved to be. Revisions are the store's.
+// Keeps a VM's local copy of the store current: selects the next call and
+// tracks up to which moment the local copy is proved current. Revisions are the
+// store's.
+//
+// Load pattern: the store is priced by the call, loses answers, compacts its
+// history and is unreachable for seconds. Without the intervals each write of
+// an upstream is a call by each VM. Without the proof a VM that lost the store
+// would go on with withdrawn keys, seen only by requests that run for callers
+// without access.
 class fleet_feed {
  public:
   enum class call { kRange, kWatch };
   struct order {
     call what = call::kRange;
-    std::uint64_t after = 0;  // For a watch, and how long it may wait.
+    // Revision after which a watch or relayed request reports changes.
+    std::uint64_t after = 0;
+    // Longest wait for changes.
     duration wait{};
-    bool relayed = false;  // To be asked of another VM, not of the store.
+    bool relayed = false;  // The call goes to another VM, not to the store.
   };
 
   explicit fleet_feed(const feed_options& options);
 
-  // VMs that make calls to the store like this one.
+  // Sets the number of VMs that make calls to the store like this VM.
   void SetFleetSize(int vms);
-  // Other VMs ask this one for what it has read.
+  // Sets whether other VMs read changes from this VM.
   void SetShared(bool shared) { is_shared_ = shared; }
-  // The call to make now, if any; it counts as sent. `may_relay`: another VM
-  // can be asked, as long as there is a copy that it can add to.
+  // Returns the call to make now, if any, and counts it as sent. With
+  // `may_relay` the call goes to another VM if there is a local copy that the
+  // answer can add to.
   std::optional<order> Next(monotonic_time now, bool may_relay = false);
-  // When Next may have one, if nothing is under way.
+  // Returns when Next may return a call if none is in flight.
   monotonic_time NextAt() const { return next_at_; }
 
   void OnRange(std::uint64_t revision, monotonic_time now);
-  // `any`: there were changes, so that the watch ended before its wait.
+  // Takes the answer of a watch. `any` is set if there were changes, so that
+  // the watch ended before its wait was over.
   void OnEvents(std::uint64_t revision, bool any, monotonic_time now);
-  // Another VM answered. `proof_age`: how old its own proof was when it did,
-  // after it had held the question for `held`; `lapsed_left`: for how long what
-  // is missing there may only have lapsed.
+  // Takes the answer of another VM. `held` is the time that VM held the
+  // request, `proof_age` the age of its proof when it answered, and
+  // `expired_left` the time for which entries missing there may only have
+  // expired in an outage.
   void OnRelayed(std::uint64_t revision, duration held, duration proof_age,
-                 duration lapsed_left, monotonic_time now);
-  // It gave no answer, or none that is current; nothing was learnt.
+                 duration expired_left, monotonic_time now);
+  // The other VM gave no answer, or none that is current.
   void OnRelayFailed(monotonic_time now);
   void OnCompacted(monotonic_time now);
   void OnFailed(monotonic_time now);
 
-  // Whether a whole copy was ever read.
+  // Returns whether a full copy was ever read.
   bool HasCopy() const { return has_copy_; }
-  // The copy has all that the store acknowledged before this moment.
+  // Returns the moment up to which the local copy has every write that the
+  // store acknowledged.
   std::optional<monotonic_time> ProvenAt() const { return proven_at_; }
   bool IsProvenSince(duration age, monotonic_time now) const;
-  // The store answers.
+  // Returns whether there is a local copy and the last call did not fail.
   bool IsInTouch() const { return failures_ == 0 && has_copy_; }
-  // Until when entries that are missing may only have lapsed in an outage.
-  monotonic_time LapsedUntil() const { return lapsed_until_; }
+  // Returns until when missing entries may only have expired in an outage.
+  monotonic_time LapsedUntil() const { return expired_until_; }
   std::uint64_t Revision() const { return revision_; }
 
  private:
-  void OnAnswer(std::uint64_t revision, monotonic_time proven_at,
-                monotonic_time now);
+  void RecordAnswer(std::uint64_t revision, monotonic_time proven_at,
+                    monotonic_time now);
 
   feed_options options_;
   duration interval_;
-  bool under_way_ = false;
+  bool in_flight_ = false;
   bool has_copy_ = false;
   bool needs_range_ = true;
-  bool history_gone_ = true;  // Only a whole copy helps.
+  // Set when only a full copy from the store helps, not a relayed answer.
+  bool needs_store_copy_ = true;
   bool is_shared_ = false;
   int failures_ = 0;
   std::uint64_t revision_ = 0;
   monotonic_time next_at_{};
   monotonic_time sent_at_{};
-  duration wait_{};  // Of the watch that was sent last.
-  monotonic_time lapsed_until_{};
+  duration wait_{};  // Wait of the last watch sent to the store.
+  monotonic_time expired_until_{};
   std::optional<monotonic_time> proven_at_;
 };
 
--- a/tests/protocol/fleet_feed_test.cc
+++ b/tests/protocol/fleet_feed_test.cc
@@ -12,7 +12,7 @@
  public:
   feed_fixture() : feed_(feed_options{}) {}
 
-  // A first copy, read without delay.
+  // Reads a first full copy without delay.
   void ReadCopy(std::uint64_t revision) {
     BOOST_REQUIRE(feed_.Next(now_).has_value());
     feed_.OnRange(revision, now_);
@@ -24,7 +24,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(feed, feed_fixture)
 
-BOOST_AUTO_TEST_CASE(BeginsWithAWholeCopyAndThenAsksForChanges) {
+BOOST_AUTO_TEST_CASE(StartsWithAFullCopyThenWatches) {
   BOOST_CHECK(feed_.Next(now_)->what == fleet_feed::call::kRange);
   BOOST_CHECK(!feed_.Next(now_));
   feed_.OnRange(41, now_);
@@ -36,8 +36,8 @@
   BOOST_TEST(order->after == 41u);
 }
 
-// An operator changes things sixteen times a second. Each VM must learn of them
-// in time without a call for each.
+// The store changes on every call. A VM must fetch the changes in time without
+// a call for each of them.
 BOOST_AUTO_TEST_CASE(ManyChangesAreFetchedTogether) {
   ReadCopy(1);
   std::uint64_t calls = 0;
@@ -51,32 +51,32 @@
   BOOST_TEST(calls <= 20u);
 }
 
-// The store held the watch for its whole wait. That the copy was current at its
-// end is certain even if the VM was frozen before it read the answer; that it
-// is current now isn't.
+// The store held the watch for its whole wait. The local copy was certainly
+// current at the end of the wait, even if the VM was frozen before it read the
+// answer, but isn't certainly current now.
 BOOST_AUTO_TEST_CASE(AnEmptyAnswerProvesTheEndOfItsWait) {
   ReadCopy(5);
   now_ += milliseconds(300);
-  const monotonic_time asked = now_;
+  const monotonic_time sent = now_;
   BOOST_REQUIRE(feed_.Next(now_));
   now_ += seconds(9);
   feed_.OnEvents(5, false, now_);
-  BOOST_CHECK(feed_.ProvenAt() == asked + seconds(2));
+  BOOST_CHECK(feed_.ProvenAt() == sent + seconds(2));
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerWithChangesProvesOnlyItsQuestion) {
+BOOST_AUTO_TEST_CASE(AnAnswerWithChangesProvesOnlyItsStart) {
   ReadCopy(5);
   now_ += seconds(1);
-  const monotonic_time asked = now_;
+  const monotonic_time sent = now_;
   BOOST_REQUIRE(feed_.Next(now_));
   now_ += milliseconds(1500);
   feed_.OnEvents(6, true, now_);
-  BOOST_CHECK(feed_.ProvenAt() == asked);
+  BOOST_CHECK(feed_.ProvenAt() == sent);
 }
 
-// The same with a fleet five times as large. The calls of all VMs together are
-// what is paid for.
-BOOST_AUTO_TEST_CASE(ALargerFleetAsksLessOften) {
+// A fleet of 60 VMs, five times the small fleet. The calls of all VMs together
+// are paid for, so each VM must call less often.
+BOOST_AUTO_TEST_CASE(ALargerFleetCallsLessOften) {
   ReadCopy(1);
   feed_.SetFleetSize(60);
   now_ += seconds(1);
@@ -90,22 +90,22 @@
   BOOST_TEST(calls == 10u);
 }
 
-// An answer that comes late proves only what held when it was asked for. A VM
-// that counted from the answer would let withdrawn keys in for longer.
-BOOST_AUTO_TEST_CASE(TheProofCountsFromTheQuestion) {
+// A late answer proves only the state at the time of the request. A VM that
+// counted from the answer would admit withdrawn keys for longer.
+BOOST_AUTO_TEST_CASE(TheProofCountsFromTheRequest) {
   BOOST_REQUIRE(feed_.Next(now_));
-  const monotonic_time asked = now_;
+  const monotonic_time sent = now_;
   now_ += milliseconds(900);
   feed_.OnRange(5, now_);
-  BOOST_CHECK(feed_.ProvenAt() == asked);
-  BOOST_TEST(feed_.IsProvenSince(seconds(3), asked + milliseconds(2999)));
-  BOOST_TEST(!feed_.IsProvenSince(seconds(3), asked + seconds(3)));
+  BOOST_CHECK(feed_.ProvenAt() == sent);
+  BOOST_TEST(feed_.IsProvenSince(seconds(3), sent + milliseconds(2999)));
+  BOOST_TEST(!feed_.IsProvenSince(seconds(3), sent + seconds(3)));
 }
 
 // Changes come just before watches would have ended. A VM whose proof grew
-// older with each of them would call itself not ready, and so would all others
-// at the same moment.
-BOOST_AUTO_TEST_CASE(ChangesDoNotLetTheProofGrowOld) {
+// older with each of them would report itself not ready, and so would all other
+// VMs at the same moment.
+BOOST_AUTO_TEST_CASE(ChangesDoNotAgeTheProof) {
   ReadCopy(5);
   for (std::uint64_t i = 0; i < 20; ++i) {
     now_ = std::max(now_, feed_.NextAt());
@@ -118,9 +118,9 @@
   }
 }
 
-// The store forgets its history while changes are made. Watching on from the
-// old revision would miss them for ever.
-BOOST_AUTO_TEST_CASE(AForgottenHistoryIsReadAnewAtOnce) {
+// The store compacts its history while changes are made. A watch from the old
+// revision would miss these changes for ever.
+BOOST_AUTO_TEST_CASE(ACompactedHistoryIsReadAgainAtOnce) {
   ReadCopy(5);
   now_ += seconds(1);
   BOOST_REQUIRE(feed_.Next(now_));
@@ -130,8 +130,8 @@
   BOOST_CHECK(order->what == fleet_feed::call::kRange);
 }
 
-// A watch that is cut may have missed what happened just before.
-BOOST_AUTO_TEST_CASE(AfterAFailureAllIsReadAnew) {
+// A watch that breaks off may have missed the changes just before.
+BOOST_AUTO_TEST_CASE(AFailureForcesAFullCopy) {
   ReadCopy(5);
   now_ += seconds(1);
   BOOST_REQUIRE(feed_.Next(now_));
@@ -142,10 +142,10 @@
   BOOST_CHECK(feed_.Next(now_)->what == fleet_feed::call::kRange);
 }
 
-// Entries lapse while the store is away, and their owners write them again
-// within two seconds of its return. Taking them for gone at once would empty
-// the list of upstreams.
-BOOST_AUTO_TEST_CASE(WhatIsMissingAfterAnOutageGetsSomeTime) {
+// Entries expire while the store is unreachable, and their owners write them
+// again within two seconds of its return. Dropping the entries at once would
+// empty the list of upstreams.
+BOOST_AUTO_TEST_CASE(MissingEntriesGetAGraceAfterAnOutage) {
   ReadCopy(5);
   now_ += seconds(1);
   BOOST_REQUIRE(feed_.Next(now_));
@@ -157,24 +157,25 @@
   BOOST_TEST(feed_.IsInTouch());
 }
 
-// Another VM held the question for half a second; its own copy was proved 300
-// ms before it answered. Whatever the answer's way took, this copy is proved
-// to that moment and no later: a withdrawn key must not live on by a slow way.
+// Another VM held the request for half a second, and its copy was proved 300 ms
+// before it answered. Whatever the network delay of the answer, the local copy
+// is proved up to that moment and no later: a slow network path must not keep a
+// withdrawn key valid.
 BOOST_AUTO_TEST_CASE(ARelayedAnswerProvesWhatTheOtherVmHadProved) {
   ReadCopy(5);
   now_ += seconds(1);
-  const monotonic_time asked = now_;
+  const monotonic_time sent = now_;
   const auto order = feed_.Next(now_, true);
   BOOST_REQUIRE(order);
   BOOST_TEST(order->relayed);
   BOOST_TEST(order->after == 5u);
   now_ += seconds(7);
   feed_.OnRelayed(9, milliseconds(500), milliseconds(300), {}, now_);
-  BOOST_CHECK(feed_.ProvenAt() == asked + milliseconds(200));
+  BOOST_CHECK(feed_.ProvenAt() == sent + milliseconds(200));
   BOOST_TEST(feed_.Revision() == 9u);
 }
 
-// An answer by an older proof than one that is at hand takes nothing back.
+// An answer with an older proof than the local one must not lower it.
 BOOST_AUTO_TEST_CASE(AnOldProofDoesNotReplaceANewerOne) {
   ReadCopy(5);
   const monotonic_time proven = *feed_.ProvenAt();
@@ -184,7 +185,7 @@
   BOOST_CHECK(feed_.ProvenAt() == proven);
 }
 
-BOOST_AUTO_TEST_CASE(WithoutACopyOnlyTheStoreHelps) {
+BOOST_AUTO_TEST_CASE(WithoutACopyOnlyTheStoreIsRead) {
   auto order = feed_.Next(now_, true);
   BOOST_REQUIRE(order);
   BOOST_TEST(!order->relayed);
@@ -198,9 +199,9 @@
   BOOST_TEST(!order->relayed);
 }
 
-// The store can't be reached from here, but another VM reaches it. What it says
-// adds to the copy that is there.
-BOOST_AUTO_TEST_CASE(AnotherVmHelpsWhileTheStoreIsLost) {
+// The store is unreachable from this VM, but another VM reaches it. Answers of
+// that VM add to the local copy.
+BOOST_AUTO_TEST_CASE(RelayedAnswersReplaceAnUnreachableStore) {
   ReadCopy(5);
   now_ += seconds(1);
   BOOST_REQUIRE(feed_.Next(now_));
@@ -214,7 +215,7 @@
   BOOST_TEST(feed_.Revision() == 7u);
 }
 
-// The next one is asked at once: the proof grows older meanwhile.
+// The next VM gets a request at once, since the proof ages meanwhile.
 BOOST_AUTO_TEST_CASE(AFailedRelayCostsNoWait) {
   ReadCopy(5);
   now_ += seconds(1);
@@ -223,8 +224,9 @@
   BOOST_TEST(feed_.Next(now_, true).has_value());
 }
 
-// What the other VM holds for lapsed in an outage is kept here as long.
-BOOST_AUTO_TEST_CASE(ARelayedOutageKeepsWhatIsMissing) {
+// Entries that may only have expired in an outage at the other VM are kept for
+// the same time.
+BOOST_AUTO_TEST_CASE(ARelayedOutageKeepsMissingEntries) {
   ReadCopy(5);
   now_ += seconds(1);
   BOOST_REQUIRE(feed_.Next(now_, true));
@@ -232,10 +234,9 @@
   BOOST_CHECK(feed_.LapsedUntil() == now_ + milliseconds(1500));
 }
 
-// Nothing changes anywhere. The copies of VMs that ask others must be proved
-// young enough for them to be ready, through two VMs between them and the
-// store.
-BOOST_AUTO_TEST_CASE(ProofsStayYoungThroughTwoVms) {
+// Nothing changes in the store. VMs that read from other VMs need proofs that
+// are young enough for readiness, through two VMs before the store.
+BOOST_AUTO_TEST_CASE(ProofsStayYoungAcrossTwoRelays) {
   fleet_feed feeds[3] = {fleet_feed(feed_options{}), fleet_feed(feed_options{}),
                          fleet_feed(feed_options{})};
   feeds[0].SetShared(true);
@@ -243,19 +244,19 @@
     BOOST_REQUIRE(feed.Next(now_));
     feed.OnRange(5, now_);
   }
-  struct under_way {
-    bool is_there = false;
+  struct pending_call {
+    bool in_flight = false;
     monotonic_time sent{};
     duration wait{};
   };
-  under_way calls[3];
+  pending_call calls[3];
   duration oldest{};
   for (int step = 0; step < 2000; ++step) {
     now_ += milliseconds(10);
     for (int i = 0; i < 3; ++i) {
-      under_way& call = calls[i];
-      if (call.is_there && now_ >= call.sent + call.wait) {
-        call.is_there = false;
+      pending_call& call = calls[i];
+      if (call.in_flight && now_ >= call.sent + call.wait) {
+        call.in_flight = false;
         if (i == 0) {
           feeds[0].OnEvents(5, false, now_);
         } else {
@@ -268,7 +269,8 @@
       oldest = std::max(oldest, now_ - *feeds[i].ProvenAt());
     }
   }
-  // A VM is ready up to three seconds; the rest is for ways and ticks.
+  // A VM is ready with proofs of up to three seconds; the rest is left for
+  // network delays and ticks.
   BOOST_TEST(ToSeconds(oldest) < 2.5);
 }
 
