--- a/include/citron/protocol/feed_sources.h
+++ b/include/citron/protocol/feed_sources.h
@@ -10,7 +10,7 @@
 
 namespace citron {
 
-// A listed VM, as far as it matters for who asks whom.
+// Properties of a listed VM that decide from which VM others read.
 struct feed_member {
   vm_id vm;
   zone_id zone;
@@ -18,36 +18,45 @@
   double link_mbps = 0;
 };
 
-// The VMs that one VM asks for changes of the store, the best first; none: it
-// asks the store. Each VM asks only VMs that come before it in one order that
-// all compute alike, so that nobody's news can come from himself.
-std::vector<vm_id> PlanFeed(const feed_member& own,
+// Returns the VMs from which a VM reads changes of the store, the preferred one
+// first, or none if the VM reads from the store itself. Each VM reads only from
+// VMs before it in an order that all VMs compute alike, so that no VM's changes
+// come back to itself.
+//
+// Load pattern: in a fleet in which each VM watches the store, each change
+// costs one call per VM. Here one VM of a region reads the store, the first VM
+// of each other zone reads from that VM, and the other VMs of a zone read from
+// the first of their zone. Calls to the store grow with the number of regions,
+// the traffic that a VM sends grows with the size of a zone, and a change
+// passes two VMs at most. A VM that doesn't answer is skipped, in the end in
+// favor of the store, so that no VM depends on a single other VM.
+std::vector<vm_id> PlanFeed(const feed_member& self,
                             const std::vector<feed_member>& all);
 
 struct feed_source_options {
-  // How long a VM that gave no answer is left alone, twice as long with each
+  // Time for which a VM that gave no answer is skipped, doubled with each
   // further failure.
-  duration first_avoidance = FromMilliseconds(1500);
-  duration longest_avoidance = FromMilliseconds(12000);
+  duration min_backoff = FromMilliseconds(1500);
+  duration max_backoff = FromMilliseconds(12000);
 };
 
-// Which of the planned VMs to ask now, by how they answered.
+// Selects the planned VM to read from by the VMs' recent answers and failures.
 class feed_sources {
  public:
   explicit feed_sources(const feed_source_options& options = {});
 
   void SetPlan(std::vector<vm_id> plan);
-  // By the plan, whatever failed: this VM reads the store for others.
+  // Returns whether this VM reads the store by the plan, whatever failed.
   bool ReadsStore() const { return plan_.empty(); }
-  // None: the store itself.
+  // Returns the VM to read from, or none for the store itself.
   std::optional<vm_id> Next(monotonic_time now) const;
   void OnAnswered(const vm_id& vm);
   void OnFailed(const vm_id& vm, monotonic_time now);
 
  private:
   struct failure {
-    int in_row = 0;
-    monotonic_time avoided_until{};
+    int failure_count = 0;
+    monotonic_time backoff_until{};
   };
 
   feed_source_options options_;
--- a/include/citron/protocol/fleet_feed.h
+++ b/include/citron/protocol/fleet_feed.h
@@ -9,9 +9,9 @@
 namespace citron {
 
 struct feed_options {
-  // Least time between two calls that are answered: changes come in bursts, and
-  // each call is paid for. In a small fleet a change reaches all VMs after a
-  // third of a second. With more VMs each change costs more calls, so the
+  // Least time from an answered call to the next call: changes come in bursts,
+  // and each call is paid for. In a small fleet a change reaches all VMs after
+  // a third of a second. With more VMs each change costs more calls, so the
   // interval grows, up to less than half of what the bounds allow.
   duration min_interval = FromMilliseconds(300);
   duration max_interval = FromMilliseconds(1100);
@@ -92,7 +92,8 @@
   // store acknowledged.
   std::optional<monotonic_time> ProvenAt() const { return proven_at_; }
   bool IsProvenSince(duration age, monotonic_time now) const;
-  // Returns whether there is a local copy and the last call did not fail.
+  // Returns whether there is a local copy and no call to the store failed since
+  // the last answer.
   bool IsInTouch() const { return failures_ == 0 && has_copy_; }
   // Returns until when missing entries may only have expired in an outage.
   monotonic_time LapsedUntil() const { return expired_until_; }
--- a/src/protocol/feed_sources.cc
+++ b/src/protocol/feed_sources.cc
@@ -11,8 +11,9 @@
 
 namespace {
 
-// VMs with wide links first, since one that others ask sends each change many
-// times; among equals by hash, so that not the first by name has all the work.
+// Orders VMs with wide links first, since a VM that others read from sends each
+// change many times. VMs with equal links are ordered by hash, so that the load
+// doesn't always fall on the first VM by name.
 bool ComesBefore(const feed_member& a, const feed_member& b) {
   const auto rank = [](const feed_member& m) {
     return std::tuple(-m.link_mbps, HashBytes(m.vm.Str()), m.vm);
@@ -20,33 +21,27 @@
   return rank(a) < rank(b);
 }
 
-// The first of those that come before `own`, up to so many.
-std::vector<feed_member> FirstBefore(
-    const feed_member& own, const std::vector<feed_member>& all,
-    std::size_t most, const std::function<bool(const feed_member&)>& is_near) {
+// Returns the first `max_count` near VMs that come before `self`.
+std::vector<feed_member> FirstVmsBefore(
+    const feed_member& self, const std::vector<feed_member>& all,
+    std::size_t max_count,
+    const std::function<bool(const feed_member&)>& is_near) {
   std::vector<feed_member> before;
   std::copy_if(
       all.begin(), all.end(), std::back_inserter(before),
-      [&](const feed_member& m) { return is_near(m) && ComesBefore(m, own); });
+      [&](const feed_member& m) { return is_near(m) && ComesBefore(m, self); });
   std::sort(before.begin(), before.end(), ComesBefore);
-  if (before.size() > most) before.resize(most);
+  if (before.size() > max_count) before.resize(max_count);
   return before;
 }
 
-// Of a region's VMs, those whose own zone and the region's other zones ask
-// them. The second one is there for when the first one fails.
+// Number of a region's first VMs in each plan. The second VM is the fallback if
+// the first one fails.
 constexpr std::size_t kRegionSources = 2;
 
 }  // namespace
 
-// Answers: fleets in which each VM's own watch is a call to the store for every
-// change. One VM of a region reads the store; the first of each other zone asks
-// it, and the rest of a zone asks its first. Calls to the store then grow with
-// the regions, what a VM sends with the size of a zone, and a change passes two
-// VMs at most. A VM that doesn't answer is passed over, in the end to the store
-// itself, so that nobody waits for a single other one.
-
-std::vector<vm_id> PlanFeed(const feed_member& own,
+std::vector<vm_id> PlanFeed(const feed_member& self,
                             const std::vector<feed_member>& all) {
   std::vector<vm_id> plan;
   const auto add = [&plan](const std::vector<feed_member>& members) {
@@ -56,10 +51,11 @@
       }
     }
   };
-  add(FirstBefore(own, all, 1,
-                  [&own](const feed_member& m) { return m.zone == own.zone; }));
-  add(FirstBefore(own, all, kRegionSources, [&own](const feed_member& m) {
-    return m.region == own.region;
+  add(FirstVmsBefore(self, all, 1, [&self](const feed_member& m) {
+    return m.zone == self.zone;
+  }));
+  add(FirstVmsBefore(self, all, kRegionSources, [&self](const feed_member& m) {
+    return m.region == self.region;
   }));
   return plan;
 }
@@ -77,7 +73,7 @@
 std::optional<vm_id> feed_sources::Next(monotonic_time now) const {
   for (const vm_id& vm : plan_) {
     const auto failed = failures_.find(vm);
-    if (failed == failures_.end() || now >= failed->second.avoided_until) {
+    if (failed == failures_.end() || now >= failed->second.backoff_until) {
       return vm;
     }
   }
@@ -88,10 +84,10 @@
 
 void feed_sources::OnFailed(const vm_id& vm, monotonic_time now) {
   failure& f = failures_[vm];
-  const int doublings = std::min(f.in_row, 8);
-  ++f.in_row;
-  f.avoided_until = now + std::min(options_.first_avoidance * (1 << doublings),
-                                   options_.longest_avoidance);
+  const int doublings = std::min(f.failure_count, 8);
+  ++f.failure_count;
+  f.backoff_until = now + std::min(options_.min_backoff * (1 << doublings),
+                                   options_.max_backoff);
 }
 
 }  // namespace citron
--- a/src/protocol/fleet_feed.cc
+++ b/src/protocol/fleet_feed.cc
@@ -62,8 +62,8 @@
   RecordAnswer(revision, any ? sent_at_ : held, now);
 }
 
-// `proven_at` is a moment at which the answer was certainly current, and never
-// the time at which the answer was read.
+// Records an answer. Unless more is certain, `proven_at` is the time the call
+// was sent, since the store received the call after that time.
 void fleet_feed::RecordAnswer(std::uint64_t revision, monotonic_time proven_at,
                               monotonic_time now) {
   in_flight_ = false;
--- a/tests/protocol/feed_sources_test.cc
+++ b/tests/protocol/feed_sources_test.cc
@@ -14,8 +14,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// `in_zone` VMs in each of two zones of `regions` regions; the first of each
-// zone has a wide link.
+// Returns a fleet with `in_zone` VMs in each of two zones of `regions` regions.
+// The first VM of each zone has a wide link.
 std::vector<feed_member> Fleet(int regions, int in_zone) {
   std::vector<feed_member> fleet;
   for (int region = 0; region < regions; ++region) {
@@ -38,7 +38,7 @@
   return plans;
 }
 
-// How many VMs an answer of the store passes on its way.
+// Returns the number of VMs that an answer of the store passes to reach `vm`.
 int Depth(const std::map<vm_id, std::vector<vm_id>>& plans, const vm_id& vm) {
   const std::vector<vm_id>& plan = plans.at(vm);
   return plan.empty() ? 0 : 1 + Depth(plans, plan.front());
@@ -47,8 +47,8 @@
 BOOST_AUTO_TEST_SUITE(feed_sources_cases)
 
 // The store counts each call, and its rates grow more slowly than the fleet.
-// One VM a region asks it, however many there are.
-BOOST_AUTO_TEST_CASE(OneVmOfARegionAsksTheStore) {
+// One VM per region reads the store, whatever the number of VMs.
+BOOST_AUTO_TEST_CASE(OneVmOfARegionReadsTheStore) {
   for (const int in_zone : {1, 2, 10, 150}) {
     const auto plans = Plans(Fleet(3, in_zone));
     const auto readers =
@@ -59,25 +59,25 @@
   }
 }
 
-// A VM with a narrow link would be busy with telling others alone.
-BOOST_AUTO_TEST_CASE(OthersAskVmsWithWideLinks) {
+// A VM with a narrow link would spend its link on sending changes to others.
+BOOST_AUTO_TEST_CASE(SourcesHaveWideLinks) {
   for (const auto& [vm, plan] : Plans(Fleet(3, 10))) {
     if (plan.empty()) continue;
     BOOST_TEST(plan.front().Str().ends_with("v0"));
   }
 }
 
-BOOST_AUTO_TEST_CASE(NobodyIsAskedByMoreThanAZoneAndTheFirstOfTheOthers) {
-  std::map<vm_id, int> askers;
+BOOST_AUTO_TEST_CASE(SourceServesAtMostItsZoneAndTheFirstOfOtherZones) {
+  std::map<vm_id, int> readers;
   for (const auto& [vm, plan] : Plans(Fleet(2, 50))) {
-    if (!plan.empty()) ++askers[plan.front()];
+    if (!plan.empty()) ++readers[plan.front()];
   }
-  for (const auto& [vm, count] : askers) BOOST_TEST(count <= 49 + 1);
+  for (const auto& [vm, count] : readers) BOOST_TEST(count <= 49 + 1);
 }
 
-// Everyone has somebody else to ask when the one that he asks is gone, or comes
-// himself to the store.
-BOOST_AUTO_TEST_CASE(NobodyDependsOnASingleOther) {
+// Each VM falls back to another VM or to the store when the VM it reads from is
+// gone.
+BOOST_AUTO_TEST_CASE(NoVmDependsOnASingleSource) {
   const std::vector<feed_member> fleet = Fleet(3, 10);
   for (const auto& [vm, plan] : Plans(fleet)) {
     std::set<vm_id> different(plan.begin(), plan.end());
@@ -86,19 +86,19 @@
   }
 }
 
-// Two VMs that asked each other would prove to each other for ever that their
-// copies are current.
-BOOST_AUTO_TEST_CASE(NoQuestionsGoRound) {
+// Two VMs that read from each other would prove to each other for ever that
+// their local copies are current.
+BOOST_AUTO_TEST_CASE(PlansHaveNoCycles) {
   const auto plans = Plans(Fleet(3, 10));
   for (const auto& [vm, plan] : plans) {
-    for (const vm_id& asked : plan) {
-      const std::vector<vm_id>& back = plans.at(asked);
+    for (const vm_id& source : plan) {
+      const std::vector<vm_id>& back = plans.at(source);
       BOOST_TEST((std::find(back.begin(), back.end(), vm) == back.end()));
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(WhoGaveNoAnswerIsPassedOver) {
+BOOST_AUTO_TEST_CASE(VmWithoutAnswerIsSkipped) {
   monotonic_time now{std::chrono::hours(1)};
   feed_sources sources;
   sources.SetPlan({vm_id("a"), vm_id("b")});
@@ -109,7 +109,7 @@
   BOOST_CHECK(!sources.Next(now));
   now += seconds(2);
   BOOST_CHECK(sources.Next(now) == vm_id("a"));
-  // It fails again, and is left alone for longer.
+  // VM a fails again and is skipped for longer.
   sources.OnFailed(vm_id("a"), now);
   now += seconds(2);
   BOOST_CHECK(sources.Next(now) == vm_id("b"));
@@ -117,7 +117,7 @@
   BOOST_CHECK(sources.Next(now) == vm_id("a"));
 }
 
-BOOST_AUTO_TEST_CASE(AReplacedVmBeginsWithAGoodRecord) {
+BOOST_AUTO_TEST_CASE(RemovalFromThePlanClearsFailures) {
   monotonic_time now{std::chrono::hours(1)};
   feed_sources sources;
   sources.SetPlan({vm_id("a")});
