--- a/include/citron/protocol/change_index.h
+++ b/include/citron/protocol/change_index.h
@@ -11,38 +11,45 @@
 
 namespace citron {
 
-// What became of one key since some revision.
+// Last change of a key after some revision.
 struct key_change {
   enum class kind {
     kWritten,
     kRemoved,
-    kConfirmed,  // Written again with nothing new in it; without a value.
+    kConfirmed,  // Written again unchanged; carries no value.
   };
   kind what = kind::kWritten;
   store_item item;
 };
 
-// The last state of each key with the revisions at which it came about, so that
-// others who stand at any of the later revisions can be told what they lack.
+// Last state of each key with the revisions of its last change and write, from
+// which readers at an older revision get the changes that they lack.
+//
+// Load pattern: the store counts each call, and the calls of a fleet would grow
+// with every VM, so one VM reads the store and other VMs read from that VM. A
+// reader at an old revision needs only the last state of each key, so the index
+// is as large as the local copy, however many changes there are.
 class change_index {
  public:
-  // `most_removed`: removed keys that are remembered.
-  explicit change_index(std::size_t most_removed = 4096);
+  // Remembers up to `max_removed` removed keys.
+  explicit change_index(std::size_t max_removed = 4096);
 
-  // All that the store holds. What is missing was removed; of a first copy
-  // nothing older is known.
+  // Takes a full copy of the store. Keys that are missing in it were removed.
+  // Nothing is known of the time before the first full copy.
   void OnCopy(const std::vector<store_item>& items, store_revision revision);
-  // Each of them is left out if it is older than what is known of the key.
+  // These three ignore a change that is older than the known state of the key.
   void OnWritten(const store_item& item);
   void OnConfirmed(const std::string& key, store_revision revision);
   void OnRemoved(const std::string& key, store_revision revision);
-  // All up to this revision has been told.
+  // Marks all changes up to this revision as received.
   void OnRevision(store_revision revision);
   store_revision Revision() const { return revision_; }
 
-  // What changed after a revision, in order; none if that isn't known any more.
+  // Returns the changes after `revision` in order, or none if these are no
+  // longer known.
   std::optional<std::vector<key_change>> After(store_revision revision) const;
-  // Whether that holds more than confirmations.
+  // Returns whether the changes after `revision`, if known, include more than
+  // confirmations; true if they are no longer known.
   bool HasNewsAfter(store_revision revision) const;
 
  private:
@@ -53,17 +60,17 @@
     store_revision written_at = 0;
   };
 
-  void Move(key_state& state, store_revision to);
-  void ForgetOldest();
+  void SetWrittenAt(key_state& state, store_revision to);
+  void DropOldestRemoval();
 
-  std::size_t most_removed_;
+  std::size_t max_removed_;
   bool has_copy_ = false;
   store_revision revision_ = 0;
   store_revision known_from_ = 0;
-  store_revision changed_at_ = 0;  // Of the last change of any key.
+  store_revision changed_at_ = 0;  // Revision of the last change of any key.
   std::map<std::string, key_state> keys_;
-  std::multimap<store_revision, std::string> order_;  // By written_at.
-  std::multimap<store_revision, std::string> removed_;
+  std::multimap<store_revision, std::string> by_written_at_;
+  std::multimap<store_revision, std::string> removed_keys_;
 };
 
 }  // namespace citron
--- a/src/protocol/change_index.cc
+++ b/src/protocol/change_index.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Takes one entry out of a map from revisions to keys.
+// Removes one entry from a map of revisions to keys.
 void Erase(std::multimap<store_revision, std::string>& order,
            store_revision revision, const std::string& key) {
   const auto [begin, end] = order.equal_range(revision);
@@ -20,13 +20,8 @@
 
 }  // namespace
 
-// Answers: a store that counts each call, and fleets whose calls would grow
-// with every VM. One VM reads the store, the others ask it. Whoever stands at
-// an old revision needs the last state of each key only, so that this is as
-// large as the copy itself, however many changes there are.
-
-change_index::change_index(std::size_t most_removed)
-    : most_removed_(most_removed) {}
+change_index::change_index(std::size_t max_removed)
+    : max_removed_(max_removed) {}
 
 void change_index::OnCopy(const std::vector<store_item>& items,
                           store_revision revision) {
@@ -45,18 +40,18 @@
   OnRevision(revision);
 }
 
-void change_index::Move(key_state& state, store_revision to) {
-  Erase(order_, state.written_at, state.item.key);
-  if (state.removed) Erase(removed_, state.written_at, state.item.key);
+void change_index::SetWrittenAt(key_state& state, store_revision to) {
+  Erase(by_written_at_, state.written_at, state.item.key);
+  if (state.removed) Erase(removed_keys_, state.written_at, state.item.key);
   state.written_at = to;
-  order_.emplace(to, state.item.key);
+  by_written_at_.emplace(to, state.item.key);
 }
 
 void change_index::OnWritten(const store_item& item) {
   key_state& state = keys_[item.key];
   if (item.revision <= state.written_at) return;
   state.item.key = item.key;
-  Move(state, item.revision);
+  SetWrittenAt(state, item.revision);
   state.changed_at = item.revision;
   changed_at_ = std::max(changed_at_, item.revision);
   state.removed = false;
@@ -67,29 +62,31 @@
                                store_revision revision) {
   const auto found = keys_.find(key);
   if (found == keys_.end() || found->second.removed) return;
-  if (revision > found->second.written_at) Move(found->second, revision);
+  if (revision > found->second.written_at)
+    SetWrittenAt(found->second, revision);
 }
 
 void change_index::OnRemoved(const std::string& key, store_revision revision) {
   key_state& state = keys_[key];
   if (state.removed || revision <= state.written_at) return;
   state.item.key = key;
-  Move(state, revision);
+  SetWrittenAt(state, revision);
   state.changed_at = revision;
   changed_at_ = std::max(changed_at_, revision);
   state.removed = true;
   state.item = {key, "", revision, ""};
-  removed_.emplace(revision, key);
-  if (removed_.size() > most_removed_) ForgetOldest();
+  removed_keys_.emplace(revision, key);
+  if (removed_keys_.size() > max_removed_) DropOldestRemoval();
 }
 
-// Who stands before it would never hear that the key is gone.
-void change_index::ForgetOldest() {
-  const auto oldest = removed_.begin();
+// Raises known_from_, since a reader at an older revision would never receive
+// the removal of the dropped key.
+void change_index::DropOldestRemoval() {
+  const auto oldest = removed_keys_.begin();
   known_from_ = std::max(known_from_, oldest->first);
-  Erase(order_, oldest->first, oldest->second);
+  Erase(by_written_at_, oldest->first, oldest->second);
   keys_.erase(oldest->second);
-  removed_.erase(oldest);
+  removed_keys_.erase(oldest);
 }
 
 void change_index::OnRevision(store_revision revision) {
@@ -104,7 +101,8 @@
     store_revision revision) const {
   if (revision < known_from_) return std::nullopt;
   std::vector<key_change> changes;
-  for (auto it = order_.upper_bound(revision); it != order_.end(); ++it) {
+  for (auto it = by_written_at_.upper_bound(revision);
+       it != by_written_at_.end(); ++it) {
     const key_state& state = keys_.at(it->second);
     using kind = key_change::kind;
     if (state.changed_at <= revision) {
--- a/tests/protocol/change_index_test.cc
+++ b/tests/protocol/change_index_test.cc
@@ -15,7 +15,7 @@
   return {key, value, revision, ""};
 }
 
-// The text of all changes, for comparison.
+// Returns the text of all changes, for comparison.
 std::string Text(const std::optional<std::vector<key_change>>& changes) {
   if (!changes) return "gone";
   std::string text;
@@ -30,7 +30,7 @@
 
 BOOST_AUTO_TEST_SUITE(change_index_cases)
 
-BOOST_AUTO_TEST_CASE(TellsTheLastStateOfWhatChanged) {
+BOOST_AUTO_TEST_CASE(ReturnsTheLastStateOfChangedKeys) {
   change_index index;
   index.OnCopy({Item("a", "1", 3), Item("b", "1", 4)}, 5);
   index.OnWritten(Item("a", "2", 6));
@@ -43,9 +43,9 @@
   BOOST_TEST(!index.HasNewsAfter(8));
 }
 
-// An upstream writes again and again that it is there. Whoever has its entry
-// needs the word of it, not the entry.
-BOOST_AUTO_TEST_CASE(WhatSaysNothingNewIsOnlyConfirmed) {
+// An upstream renews its entry again and again. A reader that has the entry
+// needs the confirmation, not the entry.
+BOOST_AUTO_TEST_CASE(UnchangedWritesAreOnlyConfirmed) {
   change_index index;
   index.OnCopy({Item("a", "long", 3)}, 5);
   index.OnConfirmed("a", 6);
@@ -64,16 +64,16 @@
   BOOST_TEST(index.HasNewsAfter(4));
 }
 
-// The store forgot its history, and a whole copy was read. Keys that are not in
-// it were removed at some moment before it; those who ask must hear of them.
-BOOST_AUTO_TEST_CASE(ACopyRemovesWhatIsMissing) {
+// The store compacted its history, and a full copy was read. Keys that are not
+// in the copy were removed earlier, and readers must receive these removals.
+BOOST_AUTO_TEST_CASE(ACopyRemovesMissingKeys) {
   change_index index;
   index.OnCopy({Item("a", "1", 3), Item("b", "1", 4)}, 5);
   index.OnCopy({Item("b", "1", 4), Item("c", "1", 8)}, 9);
   BOOST_TEST(Text(index.After(5)) == "c=1 a- ");
 }
 
-BOOST_AUTO_TEST_CASE(AKeyThatCameBackIsThere) {
+BOOST_AUTO_TEST_CASE(AKeyWrittenAfterRemovalIsPresent) {
   change_index index;
   index.OnCopy({Item("a", "1", 3)}, 5);
   index.OnRemoved("a", 6);
@@ -84,9 +84,9 @@
   BOOST_TEST(Text(index.After(6)) == "a=1 ");
 }
 
-// Removed keys can't be kept for ever. Who stands before the one that was
-// forgotten reads a whole copy, or would keep the key for good.
-BOOST_AUTO_TEST_CASE(ForgottenRemovalsNeedAWholeCopy) {
+// Removed keys can't be kept for ever. A reader at a revision before a dropped
+// removal must read a full copy, or would keep the key for good.
+BOOST_AUTO_TEST_CASE(DroppedRemovalsNeedAFullCopy) {
   change_index index(2);
   index.OnCopy({Item("a", "1", 1), Item("b", "1", 2), Item("c", "1", 3)}, 5);
   index.OnRemoved("a", 6);
@@ -97,8 +97,8 @@
   BOOST_TEST(Text(index.After(6)) == "b- c- ");
 }
 
-// News that come by two ways overtake each other.
-BOOST_AUTO_TEST_CASE(OlderNewsOfAKeyChangeNothing) {
+// Changes that arrive by two paths overtake each other.
+BOOST_AUTO_TEST_CASE(OlderChangesOfAKeyAreIgnored) {
   change_index index;
   index.OnCopy({Item("a", "1", 3)}, 5);
   index.OnWritten(Item("a", "3", 8));
@@ -107,8 +107,9 @@
   BOOST_TEST(Text(index.After(5)) == "a=3 ");
 }
 
-// Followers that stop and ask at any moment, by any of two indexes that heard
-// of the same store at different moments, have what the store has.
+// A follower that reads at random moments, from either of two indexes that
+// follow the same store in different ways, has the keys and values of the
+// store.
 BOOST_AUTO_TEST_CASE(AFollowerEndsWithWhatTheStoreHas) {
   pcg32 random(7);
   std::map<std::string, store_item> store;
@@ -126,7 +127,7 @@
     } else {
       store[key] = Item(key, std::to_string(random(1000)), revision);
       indexes[0].OnWritten(store[key]);
-      // The other one lags and reads whole copies.
+      // The other index sometimes reads a full copy instead of the change.
       if (random(4) == 0) {
         std::vector<store_item> items;
         for (const auto& [name, item] : store) items.push_back(item);
