--- a/include/citron/protocol/request_registry.h
+++ b/include/citron/protocol/request_registry.h
@@ -17,58 +17,63 @@
 
 namespace citron {
 
-// Proves that the fleet issued an id. Both sides hold the fleet's secret.
+// Proves that the fleet issued an id. Issuer and verifier hold the fleet's
+// secret.
 class request_id_mac {
  public:
   virtual ~request_id_mac() = default;
-  // Hexadecimal, of a fixed length.
+  // Returns hexadecimal text of a fixed length.
   virtual std::string Compute(std::string_view text) const = 0;
 };
 
-// What a request id says: "<vm>.<incarnation>.<number>.<expiry>.<mac>".
+// Parts of a request id: "<vm>.<incarnation>.<number>.<expiry>.<mac>".
 struct request_id_parts {
   vm_id vm;
   incarnation_number incarnation = 0;
   std::uint64_t number = 0;
-  // Milliseconds of the issuer's monotonic clock; means nothing to others.
+  // Milliseconds of the issuer's monotonic clock; meaningless to other
+  // processes.
   std::uint64_t expires_at_ms = 0;
   std::string mac;
 };
 
-// Strict: bounded length, every part there, no leading zeros, lower-case MAC.
+// Parses strictly: bounded length, every part present, no leading zeros,
+// lower-case MAC.
 std::optional<request_id_parts> ParseRequestId(std::string_view text);
 
 struct request_registry_options {
   vm_id vm;
   incarnation_number incarnation = 0;
   duration lifetime = FromSeconds(600);
-  // Ids that were run and have not expired.
+  // Limit of the ids that were run and have not expired.
   std::size_t max_ids = 250000;
 };
 
 namespace begin_answer {
 
-// The request may be sent, and this call was the only one to say so.
+// The request may be sent; no other call returns this for the id, unless the
+// outcome is kNotRun.
 struct run {};
-// It is in flight; its outcome is not known yet.
+// The request is in flight; its outcome is not known yet.
 struct already_running {};
-// It has an outcome; nothing is sent.
+// The request has an outcome; nothing is sent.
 struct answered {
   verdict ran = verdict::kMayHaveRun;
   int status = 0;  // HTTP status given to the first caller.
 };
-// The id is too old to be run. It may have run.
+// The id is too old to be run. The request may have run.
 struct expired {};
-// Issued by another process, which alone may run it.
+// Another process issued the id, and only that process may run it.
 struct other_issuer {
   vm_id vm;
   incarnation_number incarnation = 0;
 };
-// The same id with another request; nothing is sent.
+// The id was used with another request; nothing is sent.
 struct fingerprint_differs {};
-// Malformed or forged.
+// The id is malformed or forged.
 struct refused {};
-// No memory for another id. Not run; the same id may be tried later.
+// The limit of ids is reached. The request was not run; the same id may be
+// tried later.
 struct full {};
 
 }  // namespace begin_answer
@@ -79,21 +84,28 @@
                  begin_answer::other_issuer, begin_answer::fingerprint_differs,
                  begin_answer::refused, begin_answer::full>;
 
-// At-most-once: runs a request id that this process issued once, and remembers
-// it until it expires.
+// Gives at-most-once execution: lets a request id that this process issued run
+// once and remembers the id until it expires.
+//
+// Load pattern: an answer is lost or a caller's connection breaks, and the
+// caller sends the request again with the same id. Without the registry the
+// second request would run as well, such as a second booking or a second credit
+// note. One process issues the id, runs it and remembers it, so no store is
+// written for a request, and a store outage or partition changes nothing. When
+// that process is gone, whether the request ran is unknown and is not reported.
 class request_registry {
  public:
   // `mac` must outlive the registry.
   request_registry(request_registry_options options, const request_id_mac& mac);
 
-  // kUnavailable when full. An id costs no memory until it is run.
+  // Returns kUnavailable when full. An id costs no memory until it is run.
   result<request_id> IssueId(monotonic_time now);
   // `fingerprint` is a digest of workspace, method, path and body.
   begin_result Begin(const request_id& id, std::uint64_t fingerprint,
                      monotonic_time now);
-  // kNotRun makes the id free to be begun again.
+  // Records the outcome. kNotRun frees the id to be run again.
   void OnOutcome(const request_id& id, verdict ran, int status);
-  // Forgets ids that expired; also done by IssueId and Begin.
+  // Drops expired ids. IssueId and Begin call this as well.
   void Expire(monotonic_time now);
 
   std::size_t Size() const { return entries_.size(); }
@@ -107,12 +119,12 @@
     int status = 0;
   };
 
-  std::optional<request_id_parts> Verified(const request_id& id) const;
-  bool IsOwn(const request_id_parts& parts) const;
+  std::optional<request_id_parts> ParseVerified(const request_id& id) const;
+  bool IsIssuedHere(const request_id_parts& parts) const;
 
   request_registry_options options_;
   const request_id_mac& mac_;
-  // Ids that were run. Numbers grow and each id lives equally long, so the
+  // Ids that were run. Numbers grow and all ids have the same lifetime, so the
   // order of numbers is the order of expiry.
   std::map<std::uint64_t, entry> entries_;
   std::uint64_t next_number_ = 1;
--- a/src/protocol/request_registry.cc
+++ b/src/protocol/request_registry.cc
@@ -8,13 +8,6 @@
 
 #include "citron/base/digest.h"
 
-// A booking's answer is lost on the way, or its caller's connection breaks. The
-// caller asks again with the same id. Without the registry the second request
-// would be a second booking; the planner would see two couples in one place, or
-// a depot two credit notes. One process issues the id, runs it and remembers
-// it, so no store has to be written for a booking, and a store outage or a cut
-// changes nothing. When that process is gone nobody knows, and nobody says.
-
 namespace citron {
 
 namespace {
@@ -38,7 +31,8 @@
   return (c >= 'a' && c <= 'f') || (c >= '0' && c <= '9');
 }
 
-// Digits only and no leading zero, so that a number has one spelling.
+// Accepts only digits without a leading zero, so that a number has one
+// spelling.
 std::optional<std::uint64_t> ParseNumber(std::string_view text) {
   if (text.empty() || text.size() > kMaxNumberDigits) return std::nullopt;
   if (text.size() > 1 && text.front() == '0') return std::nullopt;
@@ -49,8 +43,9 @@
   return number;
 }
 
-// Takes the part after the last dot off; a VM's name may have dots itself.
-std::optional<std::string_view> TakeLast(std::string_view& text) {
+// Removes and returns the part after the last dot. Parts are read from the end
+// because a VM's name may contain dots.
+std::optional<std::string_view> PopLastPart(std::string_view& text) {
   const std::size_t dot = text.rfind('.');
   if (dot == std::string_view::npos) return std::nullopt;
   const std::string_view last = text.substr(dot + 1);
@@ -58,8 +53,8 @@
   return last;
 }
 
-std::optional<std::uint64_t> TakeNumber(std::string_view& text) {
-  const std::optional<std::string_view> last = TakeLast(text);
+std::optional<std::uint64_t> PopNumber(std::string_view& text) {
+  const std::optional<std::string_view> last = PopLastPart(text);
   return last ? ParseNumber(*last) : std::nullopt;
 }
 
@@ -72,14 +67,14 @@
 
 std::optional<request_id_parts> ParseRequestId(std::string_view text) {
   if (text.size() > kMaxIdBytes) return std::nullopt;
-  const std::optional<std::string_view> mac = TakeLast(text);
+  const std::optional<std::string_view> mac = PopLastPart(text);
   if (!mac || mac->empty()) return std::nullopt;
   if (!std::all_of(mac->begin(), mac->end(), IsHexByte)) return std::nullopt;
-  const std::optional<std::uint64_t> expiry = TakeNumber(text);
+  const std::optional<std::uint64_t> expiry = PopNumber(text);
   if (!expiry) return std::nullopt;
-  const std::optional<std::uint64_t> number = TakeNumber(text);
+  const std::optional<std::uint64_t> number = PopNumber(text);
   if (!number) return std::nullopt;
-  const std::optional<std::uint64_t> incarnation = TakeNumber(text);
+  const std::optional<std::uint64_t> incarnation = PopNumber(text);
   if (!incarnation || text.empty()) return std::nullopt;
   if (!std::all_of(text.begin(), text.end(), IsNameByte)) return std::nullopt;
   return request_id_parts{vm_id(std::string(text)), *incarnation, *number,
@@ -90,9 +85,9 @@
                                    const request_id_mac& mac)
     : options_(std::move(options)), mac_(mac) {}
 
-// An id is not remembered when it is issued, or callers who ask for ids and
-// never use them would fill the memory. Its expiry stands in the id, under the
-// MAC; what isn't remembered and hasn't expired has not been run.
+// Doesn't store the id, or callers that request ids and never use them would
+// fill the memory. The id contains its expiry, protected by the MAC. An id that
+// is not stored and hasn't expired has not been run.
 result<request_id> request_registry::IssueId(monotonic_time now) {
   Expire(now);
   if (entries_.size() >= options_.max_ids) {
@@ -111,20 +106,20 @@
                                      std::uint64_t fingerprint,
                                      monotonic_time now) {
   Expire(now);
-  const std::optional<request_id_parts> parts = Verified(id);
+  const std::optional<request_id_parts> parts = ParseVerified(id);
   if (!parts) return begin_answer::refused{};
-  if (!IsOwn(*parts)) {
+  if (!IsIssuedHere(*parts)) {
     return begin_answer::other_issuer{parts->vm, parts->incarnation};
   }
   if (Milliseconds(now) >= parts->expires_at_ms) return begin_answer::expired{};
   const auto known = entries_.find(parts->number);
   if (known == entries_.end()) {
-    // Forgetting an older one to make room would let that one run twice.
+    // Dropping an older id to make room would let that id run twice.
     if (entries_.size() >= options_.max_ids) return begin_answer::full{};
-    entry begun;
-    begun.expires_at_ms = parts->expires_at_ms;
-    begun.fingerprint = fingerprint;
-    entries_.emplace(parts->number, begun);
+    entry new_entry;
+    new_entry.expires_at_ms = parts->expires_at_ms;
+    new_entry.fingerprint = fingerprint;
+    entries_.emplace(parts->number, new_entry);
     return begin_answer::run{};
   }
   const entry& earlier = known->second;
@@ -137,8 +132,8 @@
 
 void request_registry::OnOutcome(const request_id& id, verdict ran,
                                  int status) {
-  const std::optional<request_id_parts> parts = Verified(id);
-  if (!parts || !IsOwn(*parts)) return;
+  const std::optional<request_id_parts> parts = ParseVerified(id);
+  if (!parts || !IsIssuedHere(*parts)) return;
   const auto known = entries_.find(parts->number);
   if (known == entries_.end() || !known->second.running) return;
   if (ran == verdict::kNotRun) {
@@ -150,8 +145,8 @@
   known->second.status = status;
 }
 
-// One that is still running when it expires is dropped as well: the expiry in
-// the id refuses it from then on.
+// Also drops an id that is still running when it expires: Begin no longer runs
+// it, by the expiry in the id.
 void request_registry::Expire(monotonic_time now) {
   const std::uint64_t now_ms = Milliseconds(now);
   while (!entries_.empty() &&
@@ -160,7 +155,7 @@
   }
 }
 
-std::optional<request_id_parts> request_registry::Verified(
+std::optional<request_id_parts> request_registry::ParseVerified(
     const request_id& id) const {
   std::optional<request_id_parts> parts = ParseRequestId(id.Str());
   if (!parts) return std::nullopt;
@@ -169,7 +164,7 @@
   return parts;
 }
 
-bool request_registry::IsOwn(const request_id_parts& parts) const {
+bool request_registry::IsIssuedHere(const request_id_parts& parts) const {
   return parts.vm == options_.vm && parts.incarnation == options_.incarnation;
 }
 
--- a/tests/protocol/fleet_feed_test.cc
+++ b/tests/protocol/fleet_feed_test.cc
@@ -36,8 +36,8 @@
   BOOST_TEST(order->after == 41u);
 }
 
-// The store changes on every call. A VM must fetch the changes in time without
-// a call for each of them.
+// An operator makes sixteen changes a second. Each VM must receive them in time
+// without a call for each change.
 BOOST_AUTO_TEST_CASE(ManyChangesAreFetchedTogether) {
   ReadCopy(1);
   std::uint64_t calls = 0;
--- a/tests/protocol/request_registry_test.cc
+++ b/tests/protocol/request_registry_test.cc
@@ -23,7 +23,7 @@
   MAKE_CONST_MOCK1(Compute, std::string(std::string_view), override);
 };
 
-// Answers as the fleet's HMAC does.
+// Provides a MAC that computes the fleet's HMAC.
 struct fixture {
   mock_mac mac;
   std::unique_ptr<trompeloeil::expectation> computes =
@@ -58,8 +58,8 @@
 
 }  // namespace
 
-// A booking's answer gets lost and its caller sends it again, once while the
-// first is in flight and once after. It must run once.
+// The answer of a booking is lost, and the caller repeats the request once
+// while the first is in flight and once after. The request must run once.
 BOOST_FIXTURE_TEST_CASE(RepeatedRequestRunsOnce, fixture) {
   request_registry registry = Make(7);
   const request_id id = Issue(registry, 1);
@@ -70,12 +70,13 @@
   BOOST_REQUIRE(Is<answered>(again));
   BOOST_TEST((std::get<answered>(again).ran == verdict::kRan));
   BOOST_TEST(std::get<answered>(again).status == 201);
-  // A late word that it wasn't run doesn't undo that it was.
+  // A late kNotRun doesn't undo the outcome kRan.
   registry.OnOutcome(id, verdict::kNotRun, 503);
   BOOST_TEST(Is<answered>(registry.Begin(id, 5, At(5))));
 }
 
-// A request was refused before a byte of it went out. Its caller may try again.
+// A request was rejected before any byte of it was sent. The caller may try
+// again.
 BOOST_FIXTURE_TEST_CASE(NotRunFreesTheId, fixture) {
   request_registry registry = Make(7);
   const request_id id = Issue(registry, 1);
@@ -84,8 +85,8 @@
   BOOST_TEST(Is<run>(registry.Begin(id, 5, At(3))));
 }
 
-// The process that ran the booking is replaced. Its successor can't know
-// whether it ran and must not run it.
+// The process that ran a request is replaced. The successor can't know whether
+// the request ran and must not run it.
 BOOST_FIXTURE_TEST_CASE(OnlyTheIssuerRuns, fixture) {
   request_registry old = Make(7);
   request_registry successor = Make(8);
@@ -95,7 +96,7 @@
   BOOST_TEST(std::get<other_issuer>(answer).incarnation == 7u);
 }
 
-// A caller keeps an id until the registry has forgotten it, then sends it.
+// A caller keeps an id until the registry has dropped it, then sends it.
 BOOST_FIXTURE_TEST_CASE(ExpiredIdIsNeverRun, fixture) {
   request_registry registry = Make(7);
   const request_id used = Issue(registry, 1);
@@ -107,18 +108,18 @@
   BOOST_TEST(registry.Size() == 0u);
 }
 
-// A client reuses an id for another booking by mistake. Answering with the
-// first one's outcome would lose the second without anyone noticing.
-BOOST_FIXTURE_TEST_CASE(OtherRequestUnderTheSameIdIsTold, fixture) {
+// A client reuses an id for another request by mistake. An answer with the
+// outcome of the first request would silently lose the second.
+BOOST_FIXTURE_TEST_CASE(OtherRequestWithTheSameIdIsDetected, fixture) {
   request_registry registry = Make(7);
   const request_id id = Issue(registry, 1);
   registry.Begin(id, 5, At(2));
   BOOST_TEST(Is<fingerprint_differs>(registry.Begin(id, 6, At(3))));
 }
 
-// More ids are run than there is memory for. Forgetting one would let it run
+// More ids are run than the registry can hold. Dropping an id would let it run
 // twice.
-BOOST_FIXTURE_TEST_CASE(FullRegistryRefusesInsteadOfForgetting, fixture) {
+BOOST_FIXTURE_TEST_CASE(FullRegistryRefusesInsteadOfDropping, fixture) {
   request_registry registry = Make(7, 2);
   const request_id a = Issue(registry, 1);
   const request_id b = Issue(registry, 2);
@@ -131,7 +132,7 @@
   BOOST_TEST(Is<run>(registry.Begin(c, 1, At(61))));
 }
 
-// Someone makes an id up, changes one, or sends garbage.
+// Ids are forged, altered or malformed.
 BOOST_FIXTURE_TEST_CASE(ForgedAndMalformedIdsAreRefused, fixture) {
   request_registry registry = Make(7);
   const std::string good = Issue(registry, 1).Str();
