--- a/include/citron/protocol/feed_sources.h
+++ b/include/citron/protocol/feed_sources.h
@@ -46,7 +46,8 @@
   explicit feed_sources(const feed_source_options& options = {});
 
   void SetPlan(std::vector<vm_id> plan);
-  // Returns whether this VM reads the store by the plan, whatever failed.
+  // Returns whether by the plan, whatever failed, this VM reads the store for
+  // other VMs.
   bool ReadsStore() const { return plan_.empty(); }
   // Returns the VM to read from, or none for the store itself.
   std::optional<vm_id> Next(monotonic_time now) const;
--- a/include/citron/protocol/fleet_feed.h
+++ b/include/citron/protocol/fleet_feed.h
@@ -94,7 +94,7 @@
   bool IsProvenSince(duration age, monotonic_time now) const;
   // Returns whether there is a local copy and no call to the store failed since
   // the last answer.
-  bool IsInTouch() const { return failures_ == 0 && has_copy_; }
+  bool IsConnected() const { return failures_ == 0 && has_copy_; }
   // Returns until when missing entries may only have expired in an outage.
   monotonic_time LapsedUntil() const { return expired_until_; }
   std::uint64_t Revision() const { return revision_; }
--- a/tests/protocol/fleet_feed_test.cc
+++ b/tests/protocol/fleet_feed_test.cc
@@ -136,7 +136,7 @@
   now_ += seconds(1);
   BOOST_REQUIRE(feed_.Next(now_));
   feed_.OnFailed(now_);
-  BOOST_TEST(!feed_.IsInTouch());
+  BOOST_TEST(!feed_.IsConnected());
   BOOST_CHECK(!feed_.Next(now_));
   now_ += milliseconds(300);
   BOOST_CHECK(feed_.Next(now_)->what == fleet_feed::call::kRange);
@@ -154,7 +154,7 @@
   BOOST_REQUIRE(feed_.Next(now_));
   feed_.OnRange(9, now_);
   BOOST_CHECK(feed_.LapsedUntil() == now_ + milliseconds(2100));
-  BOOST_TEST(feed_.IsInTouch());
+  BOOST_TEST(feed_.IsConnected());
 }
 
 // Another VM held the request for half a second, and its copy was proved 300 ms
@@ -211,7 +211,7 @@
   BOOST_REQUIRE(order);
   BOOST_TEST(order->relayed);
   feed_.OnRelayed(7, {}, {}, {}, now_);
-  BOOST_TEST(feed_.IsInTouch());
+  BOOST_TEST(feed_.IsConnected());
   BOOST_TEST(feed_.Revision() == 7u);
 }
 
