--- a/include/citron/protocol/change_index.h
+++ b/include/citron/protocol/change_index.h
@@ -25,10 +25,11 @@
 // Last state of each key with the revisions of its last change and write, from
 // which readers at an older revision get the changes that they lack.
 //
-// Load pattern: the store counts each call, and the calls of a fleet would grow
-// with every VM, so one VM reads the store and other VMs read from that VM. A
-// reader at an old revision needs only the last state of each key, so the index
-// is as large as the local copy, however many changes there are.
+// Load pattern: the store counts each call, and the calls of a fleet would
+// grow with every VM, so one VM reads the store and other VMs read from that
+// VM. A reader at an old revision needs only the last state of each key, so
+// the index is as large as the local copy and the remembered removals, however
+// many changes there are.
 class change_index {
  public:
   // Remembers up to `max_removed` removed keys.
@@ -37,7 +38,9 @@
   // Takes a full copy of the store. Keys that are missing in it were removed.
   // Nothing is known of the time before the first full copy.
   void OnCopy(const std::vector<store_item>& items, store_revision revision);
-  // These three ignore a change that is older than the known state of the key.
+  // OnWritten, OnConfirmed and OnRemoved ignore a change that isn't newer than
+  // the known state of the key. OnConfirmed also ignores unknown and removed
+  // keys, OnRemoved removed keys.
   void OnWritten(const store_item& item);
   void OnConfirmed(const std::string& key, store_revision revision);
   void OnRemoved(const std::string& key, store_revision revision);
@@ -45,8 +48,8 @@
   void OnRevision(store_revision revision);
   store_revision Revision() const { return revision_; }
 
-  // Returns the changes after `revision` in order, or none if these are no
-  // longer known.
+  // Returns the changes after `revision` in order, or std::nullopt if some of
+  // them may be no longer known.
   std::optional<std::vector<key_change>> After(store_revision revision) const;
   // Returns whether the changes after `revision`, if known, include more than
   // confirmations; true if they are no longer known.
--- a/include/citron/protocol/config_replica.h
+++ b/include/citron/protocol/config_replica.h
@@ -27,7 +27,8 @@
   friend bool operator==(const config_item&, const config_item&) = default;
 };
 
-// One page of changes: every change with a revision in (from, to].
+// One page of changes: the last state of each object that changed in the
+// revisions (from, to].
 struct config_delta {
   config_revision from = 0;
   config_revision to = 0;
@@ -36,7 +37,8 @@
   std::vector<config_item> items;
   bool full = false;      // The page is part of a snapshot.
   bool complete = false;  // No page follows.
-  duration age{};         // Time since the sender was known to be current.
+  // Time since the sender was known to be current; duration::max() if never.
+  duration age{};
 };
 
 // Request of a replica to a peer. A snapshot is requested page by page with
@@ -48,12 +50,13 @@
 
 struct config_replica_options {
   std::size_t page_bytes = 65536;
-  // About a day of the fleet's changes: a VM that was partitioned for hours
-  // still gets changes instead of a snapshot.
+  // Limit of remembered removals, about a day of the fleet's changes: a VM
+  // that was partitioned for hours still gets changes instead of a snapshot
+  // from a peer that has the removals.
   std::size_t max_tombstones = 30000;
   duration pull_timeout = FromMilliseconds(2000);
-  // Age of the replica's freshness above which it pulls from a peer that has
-  // the same revision but is fresher.
+  // Age of the replica's freshness above which the replica pulls from a peer
+  // at the same revision that is fresher by more than half of this interval.
   duration refresh_interval = FromMilliseconds(1000);
 };
 
--- a/include/citron/protocol/fleet_feed.h
+++ b/include/citron/protocol/fleet_feed.h
@@ -9,31 +9,33 @@
 namespace citron {
 
 struct feed_options {
-  // Least time from an answered call to the next call: changes come in bursts,
-  // and each call is paid for. In a small fleet a change reaches all VMs after
-  // a third of a second. With more VMs each change costs more calls, so the
-  // interval grows, up to less than half of what the bounds allow.
+  // Least time from the start of an answered call to the next call: changes
+  // come in bursts, and each call is paid for. In a small fleet a change
+  // reaches all VMs after a third of a second. With more VMs each change costs
+  // more calls, so the interval grows, up to less than half of what the bounds
+  // allow.
   duration min_interval = FromMilliseconds(300);
   duration max_interval = FromMilliseconds(1100);
   // Number of VMs up to which min_interval applies.
   int small_fleet = 12;
-  // Time that a watch waits in the store while nothing changes. Each watch is a
-  // call, and its end proves that the local copy is current. A longer wait
-  // would leave a VM without a proof for more than half of what revocation
-  // allows.
+  // Time that a watch waits in the store while nothing changes. Each watch is
+  // a call, and its answer proves up to which moment the local copy was
+  // current. A longer wait would leave a VM without a proof for more than half
+  // of what fleet_bounds::revocation allows.
   duration watch_wait = FromMilliseconds(2000);
   // Wait of a watch on a VM that other VMs read from. Their proofs are older by
   // the time of their own requests and must still be young enough.
   duration shared_watch_wait = FromMilliseconds(800);
   // Time that a request to another VM waits there for changes.
   duration relay_wait = FromMilliseconds(500);
-  // Limit of the proof's age, apart from the time that an answer takes. A watch
-  // that ends with a change proves only its start, so the next watch waits
-  // less.
+  // A watch that ends with a change proves only its start. The next watch
+  // waits less, at least min_wait, to keep the proof younger than this age
+  // plus the time that an answer takes.
   duration max_proof_age = FromMilliseconds(2400);
   duration min_wait = FromMilliseconds(100);
   duration retry_interval = FromMilliseconds(300);
-  // Time after an outage for which missing entries may still be written again.
+  // Time after an outage for which missing entries of the store are kept, as
+  // their owners may still write them again.
   duration expiry_grace = FromMilliseconds(2100);
 };
 
@@ -77,10 +79,10 @@
   void OnEvents(std::uint64_t revision, bool any, monotonic_time now);
   // Takes the answer of another VM. `held` is the time that VM held the
   // request, `proof_age` the age of its proof when it answered, and
-  // `expired_left` the time for which entries missing there may only have
-  // expired in an outage.
+  // `expiry_grace_left` the time for which that VM keeps missing entries after
+  // an outage.
   void OnRelayed(std::uint64_t revision, duration held, duration proof_age,
-                 duration expired_left, monotonic_time now);
+                 duration expiry_grace_left, monotonic_time now);
   // The other VM gave no answer, or none that is current.
   void OnRelayFailed(monotonic_time now);
   void OnCompacted(monotonic_time now);
@@ -95,8 +97,9 @@
   // Returns whether there is a local copy and no call to the store failed since
   // the last answer.
   bool IsConnected() const { return failures_ == 0 && has_copy_; }
-  // Returns until when missing entries may only have expired in an outage.
-  monotonic_time LapsedUntil() const { return expired_until_; }
+  // Returns until when entries that are missing in the store are kept, since
+  // they may have expired in an outage and be written again.
+  monotonic_time LapsedUntil() const { return expiry_grace_until_; }
   std::uint64_t Revision() const { return revision_; }
 
  private:
@@ -116,7 +119,7 @@
   monotonic_time next_at_{};
   monotonic_time sent_at_{};
   duration wait_{};  // Wait of the last watch sent to the store.
-  monotonic_time expired_until_{};
+  monotonic_time expiry_grace_until_{};
   std::optional<monotonic_time> proven_at_;
 };
 
--- a/include/citron/protocol/request_registry.h
+++ b/include/citron/protocol/request_registry.h
@@ -108,10 +108,10 @@
   // Drops expired ids. IssueId and Begin call this as well.
   void Expire(monotonic_time now);
 
-  std::size_t Size() const { return entries_.size(); }
+  std::size_t Size() const { return records_.size(); }
 
  private:
-  struct entry {
+  struct request_record {
     std::uint64_t expires_at_ms = 0;
     std::uint64_t fingerprint = 0;
     bool running = true;
@@ -126,7 +126,7 @@
   const request_id_mac& mac_;
   // Ids that were run. Numbers grow and all ids have the same lifetime, so the
   // order of numbers is the order of expiry.
-  std::map<std::uint64_t, entry> entries_;
+  std::map<std::uint64_t, request_record> records_;
   std::uint64_t next_number_ = 1;
 };
 
--- a/include/citron/protocol/view_pacer.h
+++ b/include/citron/protocol/view_pacer.h
@@ -34,9 +34,11 @@
 };
 
 struct view_pacer_options {
+  // Budget of views to all peers together; urgent messages may exceed it.
   double bytes_per_s = 1500;
-  // Interval of messages with changed loads within this VM's zone; also the
-  // interval at which OnView is called.
+  // Least interval of messages with changed loads within this VM's zone,
+  // before the budget stretches it; also the interval at which OnView is
+  // called.
   duration interval = FromMilliseconds(200);
 };
 
@@ -44,7 +46,8 @@
 
 struct send_view {
   vm_id to;
-  // Time within which the next message follows if nothing changes.
+  // Planned time until the next message if nothing changes; a lack of byte
+  // allowance may delay that message.
   duration next_within{};
 };
 
@@ -79,7 +82,7 @@
   struct versions {
     std::uint64_t urgent = 0;
     std::uint64_t band = 0;   // An expected wait changed its band.
-    std::uint64_t load = 0;   // Any change of a load.
+    std::uint64_t load = 0;   // Any change but of mean service times.
     std::uint64_t large = 0;  // A change beyond a threshold.
   };
   struct peer_state {
@@ -88,11 +91,11 @@
     monotonic_time sent_at;
     // Whether a view was sent since the peer's last start or return.
     bool has_view = false;
-    // Whether the last message had changes, and so must be repeated in case it
-    // is lost.
-    bool unconfirmed = false;
-    bool unconfirmed_urgent = false;
-    bool listed = false;
+    // Whether the last message had changed loads or was urgent, and so must be
+    // repeated in case it is lost.
+    bool needs_repeat = false;
+    bool needs_urgent_repeat = false;
+    bool is_current = false;
   };
   struct due_peer {
     peer_state* state = nullptr;
--- a/src/protocol/change_index.cc
+++ b/src/protocol/change_index.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Removes one entry from a map of revisions to keys.
+// Removes one element from a map of revisions to keys.
 void Erase(std::multimap<store_revision, std::string>& order,
            store_revision revision, const std::string& key) {
   const auto [begin, end] = order.equal_range(revision);
--- a/src/protocol/config_replica.cc
+++ b/src/protocol/config_replica.cc
@@ -24,8 +24,10 @@
          delta.floor <= delta.head && delta.age >= duration::zero();
 }
 
-// A page from a faulty or hostile peer must not mark revisions as applied that
-// the page doesn't cover: the replica would miss those changes for good.
+// Checks that the revisions of a page and its items agree. A page from a
+// faulty or hostile peer could otherwise mark revisions as applied that the
+// page doesn't cover, and the replica would miss those changes for good.
+// Omitted items can't be detected.
 bool IsWellFormed(const config_delta& delta) {
   if (!HasOrderedRevisions(delta)) return false;
   if (delta.complete && delta.to != delta.head) return false;
@@ -58,7 +60,7 @@
     config_revision revision, monotonic_time requested_at, monotonic_time) {
   store_reachable_ = true;
   // The store dropped changes that this replica never received. Applying only
-  // the later ones would leave a withdrawn key valid for ever.
+  // the later ones would leave a withdrawn access key valid for ever.
   if (after > revision_) return {read_store_snapshot{}};
   if (revision < revision_) return {};
   RaiseFreshness(requested_at);
@@ -121,8 +123,9 @@
   if (!snapshot_ || snapshot_->vm != peer || snapshot_->cursor != delta.from) {
     return {};
   }
-  // A key of an earlier page may have been removed meanwhile and its tombstone
-  // dropped; the key would stay for ever. Restarts the snapshot.
+  // An object of an earlier page may have been removed meanwhile and its
+  // tombstone dropped; the object would stay for ever. The replica drops the
+  // pages and pulls again.
   if (delta.floor > snapshot_->head_at_start) {
     snapshot_.reset();
     return Pull(peer, NextRequest(), now);
@@ -193,10 +196,10 @@
   return objects;
 }
 
-// Drops a repeated or late change, which would restore a withdrawn key. The
-// replica's revision is checked as well as the object's, because the object's
-// is gone with a dropped tombstone; the replica has every change up to its
-// revision.
+// Stores the item and returns true, unless the change is repeated or late: a
+// late change would restore a withdrawn access key. The check against the
+// replica's revision, up to which the replica has every change, also covers
+// objects whose tombstone was dropped.
 bool config_replica::StoreItem(const config_item& item) {
   if (item.revision <= revision_) return false;
   const auto found = items_.find(item.key);
--- a/src/protocol/fleet_feed.cc
+++ b/src/protocol/fleet_feed.cc
@@ -40,12 +40,12 @@
 // time, whatever the network delay. That VM's own clock gives the age of its
 // proof, so no two clocks are compared.
 void fleet_feed::OnRelayed(std::uint64_t revision, duration held,
-                           duration proof_age, duration expired_left,
+                           duration proof_age, duration expiry_grace_left,
                            monotonic_time now) {
   const monotonic_time answered = std::min(now, sent_at_ + held);
   const monotonic_time proven = answered - proof_age;
   RecordAnswer(revision, std::max(proven, proven_at_.value_or(proven)), now);
-  expired_until_ = std::max(expired_until_, now + expired_left);
+  expiry_grace_until_ = std::max(expiry_grace_until_, now + expiry_grace_left);
 }
 
 void fleet_feed::OnRelayFailed(monotonic_time now) {
@@ -62,15 +62,16 @@
   RecordAnswer(revision, any ? sent_at_ : held, now);
 }
 
-// Records an answer. Unless more is certain, `proven_at` is the time the call
-// was sent, since the store received the call after that time.
+// Records an answer that proves the local copy up to `proven_at`. For a full
+// copy or a watch with changes this is the time the call was sent, since the
+// store received the call after that time.
 void fleet_feed::RecordAnswer(std::uint64_t revision, monotonic_time proven_at,
                               monotonic_time now) {
   in_flight_ = false;
   needs_range_ = false;
   revision_ = std::max(revision_, revision);
   proven_at_ = proven_at;
-  if (failures_ > 0) expired_until_ = now + options_.expiry_grace;
+  if (failures_ > 0) expiry_grace_until_ = now + options_.expiry_grace;
   failures_ = 0;
   next_at_ = std::max(now, sent_at_ + interval_);
 }
@@ -85,8 +86,8 @@
 void fleet_feed::OnFailed(monotonic_time now) {
   in_flight_ = false;
   ++failures_;
-  // A watch that broke off may have missed earlier changes, so everything is
-  // read again.
+  // A watch that broke off may have missed earlier changes, so the next call
+  // to the store reads everything, unless another VM answers first.
   needs_range_ = true;
   next_at_ = now + options_.retry_interval;
 }
--- a/src/protocol/request_registry.cc
+++ b/src/protocol/request_registry.cc
@@ -90,7 +90,7 @@
 // is not stored and hasn't expired has not been run.
 result<request_id> request_registry::IssueId(monotonic_time now) {
   Expire(now);
-  if (entries_.size() >= options_.max_ids) {
+  if (records_.size() >= options_.max_ids) {
     return MakeError(error_code::kUnavailable, "too many request ids");
   }
   request_id_parts parts;
@@ -112,17 +112,17 @@
     return begin_answer::other_issuer{parts->vm, parts->incarnation};
   }
   if (Milliseconds(now) >= parts->expires_at_ms) return begin_answer::expired{};
-  const auto known = entries_.find(parts->number);
-  if (known == entries_.end()) {
+  const auto known = records_.find(parts->number);
+  if (known == records_.end()) {
     // Dropping an older id to make room would let that id run twice.
-    if (entries_.size() >= options_.max_ids) return begin_answer::full{};
-    entry new_entry;
-    new_entry.expires_at_ms = parts->expires_at_ms;
-    new_entry.fingerprint = fingerprint;
-    entries_.emplace(parts->number, new_entry);
+    if (records_.size() >= options_.max_ids) return begin_answer::full{};
+    request_record new_record;
+    new_record.expires_at_ms = parts->expires_at_ms;
+    new_record.fingerprint = fingerprint;
+    records_.emplace(parts->number, new_record);
     return begin_answer::run{};
   }
-  const entry& earlier = known->second;
+  const request_record& earlier = known->second;
   if (earlier.fingerprint != fingerprint) {
     return begin_answer::fingerprint_differs{};
   }
@@ -134,10 +134,10 @@
                                  int status) {
   const std::optional<request_id_parts> parts = ParseVerified(id);
   if (!parts || !IsIssuedHere(*parts)) return;
-  const auto known = entries_.find(parts->number);
-  if (known == entries_.end() || !known->second.running) return;
+  const auto known = records_.find(parts->number);
+  if (known == records_.end() || !known->second.running) return;
   if (ran == verdict::kNotRun) {
-    entries_.erase(known);
+    records_.erase(known);
     return;
   }
   known->second.running = false;
@@ -149,9 +149,9 @@
 // it, by the expiry in the id.
 void request_registry::Expire(monotonic_time now) {
   const std::uint64_t now_ms = Milliseconds(now);
-  while (!entries_.empty() &&
-         entries_.begin()->second.expires_at_ms <= now_ms) {
-    entries_.erase(entries_.begin());
+  while (!records_.empty() &&
+         records_.begin()->second.expires_at_ms <= now_ms) {
+    records_.erase(records_.begin());
   }
 }
 
--- a/src/protocol/view_pacer.cc
+++ b/src/protocol/view_pacer.cc
@@ -10,12 +10,13 @@
 
 // Load pattern: every VM of a fleet reports its loads to every other VM. At a
 // fixed interval the traffic grows by 885 B/s for each further VM, without a
-// bound, and exceeds a daemon's 2 KB/s at three VMs. Views are therefore sent
-// by change and under a budget. Entries of the same zone act on loads at once,
-// other entries only when their own zone is full. Summaries by a relay in each
-// zone would take the fewest bytes at thousands of VMs, but each load would
-// pass one more VM and be lost when the relay changes, and entries send to
-// single dispatches of another zone, which a sum doesn't name.
+// bound, and a daemon's control traffic exceeds 2 KB/s at three VMs. Views are
+// therefore sent by change and under a budget. Entries of the same zone act on
+// loads at once, other entries only when their own zone is full. Summaries by
+// a relay in each zone would take the fewest bytes at thousands of VMs, but
+// each load would pass one more VM and be lost when the relay changes, and a
+// summary doesn't show the single dispatches of a zone, to which entries of
+// other zones send.
 
 // Multiples of the zone's interval, for other zones of the region and for other
 // regions. Entries of another region use this VM last, and a cross-region
@@ -23,13 +24,14 @@
 constexpr int kRegionFactor = 3;
 constexpr int kFarFactor = 5;
 
-// A repeat of an unchanged view only makes up for a lost message.
+// Intervals of an unchanged view before the budget stretches them. A repeat
+// makes up for a lost message and shows that this VM is alive.
 constexpr duration kZoneRepeat = std::chrono::seconds(1);
 constexpr duration kRegionRepeat = std::chrono::seconds(2);
 constexpr duration kFarRepeat = std::chrono::seconds(4);
 
-// Shorter than other repeats: losing an urgent message costs more than losing a
-// load.
+// Longest interval until an urgent message is repeated, at every distance:
+// losing an urgent message costs more than losing a load.
 constexpr duration kUrgentRepeat = std::chrono::seconds(1);
 
 // Share of the budget for repeats. Heartbeats take 1.3 KB/s, and repeats beside
@@ -39,17 +41,20 @@
 // of other peers.
 constexpr double kZoneShare = 0.6;
 
-// Limit of the saved allowance, two rounds of a zone of a few VMs, and of the
-// allowance that urgent messages may take in advance. A larger advance would
-// delay loads for long after a restart of the whole fleet.
+// Unused budget is saved for at most this time: two rounds of a zone of a few
+// VMs.
 constexpr duration kMaxSavedAllowance = std::chrono::seconds(2);
-constexpr duration kMaxAdvanceAllowance = std::chrono::seconds(1);
+// Limit of the debt of each allowance, as time of the budget. Urgent messages
+// are sent even so; a larger debt would delay loads for long after a restart of
+// the whole fleet.
+constexpr duration kMaxDebt = std::chrono::seconds(1);
 
 // Expected waits at which overflow_control changes its behavior.
 constexpr duration kModerateWait = std::chrono::milliseconds(20);
 constexpr duration kLongWait = std::chrono::milliseconds(200);
 
-// Changes of a tenth of the slots or more affect the choice between zones.
+// Limits above which a change of load is large. A tenth of the slots is a
+// change that affects the choice between zones.
 constexpr double kLargeSlotFraction = 0.1;
 constexpr int kMinLargeSlots = 2;
 constexpr double kLargeWaitFraction = 0.5;
@@ -102,7 +107,7 @@
 // place requests without this VM until then, and a new VM would send nothing to
 // this VM's zone.
 void view_pacer::SetPeers(const std::vector<view_peer>& peers) {
-  for (auto& [vm, state] : peers_) state.listed = false;
+  for (auto& [vm, state] : peers_) state.is_current = false;
   peer_counts_.clear();
   for (const view_peer& peer : peers) {
     peer_state& state = peers_[peer.vm];
@@ -110,10 +115,11 @@
     const bool is_restarted = state.peer.incarnation != peer.incarnation;
     if (is_back || is_restarted) state.has_view = false;
     state.peer = peer;
-    state.listed = true;
+    state.is_current = true;
     ++peer_counts_[peer.distance];
   }
-  std::erase_if(peers_, [](const auto& entry) { return !entry.second.listed; });
+  std::erase_if(peers_,
+                [](const auto& entry) { return !entry.second.is_current; });
 }
 
 view_pacer::actions view_pacer::OnView(const paced_view& view,
@@ -168,15 +174,18 @@
   has_last_view_ = true;
 }
 
-// Urgent messages are sent whatever the budget: an entry without the update
-// sends requests to a VM that leaves or a dispatch without slots, and each of
-// these requests costs a second try.
+// Returns whether the peer has no view or lacks an urgent change. Such
+// messages are sent whatever the budget: an entry without the update sends
+// requests to a VM that leaves or a dispatch without slots, and each of these
+// requests costs a second try.
 bool view_pacer::IsUrgent(const peer_state& state) const {
   return !state.has_view || state.sent.urgent != current_.urgent;
 }
 
-// Messages may be lost and are not acknowledged. A message with changes is
-// therefore repeated once at the change interval, then at the repeat interval.
+// Messages may be lost and are not acknowledged. A message with changed loads
+// is therefore repeated once at the change interval, and an urgent message
+// after kUrgentRepeat at most. Later repeats, and all repeats to silent
+// peers, follow at the repeat interval.
 double view_pacer::Lateness(const peer_state& state, monotonic_time now) const {
   const view_distance distance = state.peer.distance;
   const bool is_zone = distance == view_distance::kZone;
@@ -186,13 +195,14 @@
   duration interval = at.repeat;
   if (!state.peer.silent) {
     if (is_zone && state.sent.band != current_.band) {
-      // Entries of the zone move a share of its traffic step by step by the
-      // wait band; with an old band they would go on for too long.
+      // Entries of the zone send a share of its traffic past the zone and
+      // change the share step by step by the band of the expected wait. With
+      // an old band they would go on for too long.
       interval = options_.interval;
-    } else if (has_change || state.unconfirmed) {
+    } else if (has_change || state.needs_repeat) {
       interval = at.change;
     }
-    if (state.unconfirmed_urgent) interval = std::min(interval, kUrgentRepeat);
+    if (state.needs_urgent_repeat) interval = std::min(interval, kUrgentRepeat);
   }
   return ToSeconds(now - state.sent_at) / ToSeconds(interval);
 }
@@ -202,14 +212,14 @@
       state.sent.large != current_.large || state.sent.band != current_.band;
   const bool has_load = state.peer.distance == view_distance::kZone &&
                         state.sent.load != current_.load;
-  state.unconfirmed_urgent = IsUrgent(state);
-  state.unconfirmed = has_change || has_load;
+  state.needs_urgent_repeat = IsUrgent(state);
+  state.needs_repeat = has_change || has_load;
   state.sent = current_;
   state.sent_at = now;
   state.has_view = true;
   double& allowance = ByteAllowance(state);
-  const double advance = options_.bytes_per_s * ToSeconds(kMaxAdvanceAllowance);
-  allowance = std::max(allowance - last_view_.bytes, -advance);
+  const double max_debt = options_.bytes_per_s * ToSeconds(kMaxDebt);
+  allowance = std::max(allowance - last_view_.bytes, -max_debt);
   out.push_back(view_pacer_action::send_view{
       state.peer.vm, intervals_.at(state.peer.distance).repeat});
 }
--- a/tests/protocol/config_replica_test.cc
+++ b/tests/protocol/config_replica_test.cc
@@ -74,7 +74,7 @@
 }  // namespace
 
 // A listing of the store that was requested before a key was withdrawn arrives
-// late. Applying it would make the withdrawn key valid again.
+// late. Applying it would make the withdrawn access key valid again.
 BOOST_AUTO_TEST_CASE(LateSnapshotDoesNotRevert) {
   config_replica replica;
   replica.OnStoreSnapshot({Item("key/a", 3)}, 5, At(0), At(0));
@@ -87,7 +87,7 @@
 }
 
 // The store dropped changes while this VM was partitioned from it. Applying
-// only the later ones would keep a withdrawn key for good.
+// only the later ones would keep a withdrawn access key for good.
 BOOST_AUTO_TEST_CASE(GapInEventsRequestsSnapshot) {
   config_replica replica;
   replica.OnStoreSnapshot({Item("key/a", 3)}, 5, At(0), At(0));
@@ -140,8 +140,9 @@
   BOOST_TEST(outdated.Objects().empty());
 }
 
-// Two VMs that are partitioned from the store exchange heartbeats. Neither may
-// raise the other's freshness: withdrawn keys would be accepted for ever.
+// Two VMs that are partitioned from the store exchange heartbeats. Pulls may
+// raise the freshness of either only to the latest contact of one of them with
+// the store, or withdrawn access keys would be accepted for ever.
 BOOST_AUTO_TEST_CASE(PartitionedPeersDoNotRefreshEachOther) {
   config_replica a;
   config_replica b;
@@ -155,8 +156,8 @@
   BOOST_TEST((b.FreshAsOf() == At(3)));
 }
 
-// A peer claims a revision that its page doesn't cover, or sends items outside
-// the page's range.
+// A page reaches beyond its sender's revision, or has items outside the page's
+// range.
 BOOST_AUTO_TEST_CASE(MalformedDeltaIsDropped) {
   config_replica replica;
   config_delta bad;
--- a/tests/protocol/feed_sources_test.cc
+++ b/tests/protocol/feed_sources_test.cc
@@ -75,9 +75,9 @@
   for (const auto& [vm, count] : readers) BOOST_TEST(count <= 49 + 1);
 }
 
-// Each VM falls back to another VM or to the store when the VM it reads from is
-// gone.
-BOOST_AUTO_TEST_CASE(NoVmDependsOnASingleSource) {
+// A plan lists at most three different VMs, which serve as fallbacks for each
+// other before the store.
+BOOST_AUTO_TEST_CASE(PlansListFewDifferentVms) {
   const std::vector<feed_member> fleet = Fleet(3, 10);
   for (const auto& [vm, plan] : Plans(fleet)) {
     std::set<vm_id> different(plan.begin(), plan.end());
@@ -86,9 +86,9 @@
   }
 }
 
-// Two VMs that read from each other would prove to each other for ever that
-// their local copies are current.
-BOOST_AUTO_TEST_CASE(PlansHaveNoCycles) {
+// Two VMs that read from each other would receive no changes of the store. No
+// VM may be in the plan of a VM in its own plan.
+BOOST_AUTO_TEST_CASE(NoTwoVmsReadFromEachOther) {
   const auto plans = Plans(Fleet(3, 10));
   for (const auto& [vm, plan] : plans) {
     for (const vm_id& source : plan) {
--- a/tests/protocol/fleet_feed_test.cc
+++ b/tests/protocol/fleet_feed_test.cc
@@ -36,8 +36,8 @@
   BOOST_TEST(order->after == 41u);
 }
 
-// An operator makes sixteen changes a second. Each VM must receive them in time
-// without a call for each change.
+// An operator makes sixteen changes a second, so each call returns a change at
+// once. Each VM must receive them in time without a call for each change.
 BOOST_AUTO_TEST_CASE(ManyChangesAreFetchedTogether) {
   ReadCopy(1);
   std::uint64_t calls = 0;
--- a/tests/protocol/view_pacer_test.cc
+++ b/tests/protocol/view_pacer_test.cc
@@ -104,14 +104,14 @@
   }
 }
 
-// At a fixed interval each VM's traffic grows with the number of VMs: 24 VMs
-// spent 20 KB a second each, which delayed the daemons' own calls on a busy
-// machine.
+// At a fixed interval each VM's traffic grows with the number of VMs. With 24
+// VMs each would send 20 KB a second, which delays the daemons' own calls on a
+// busy machine.
 BOOST_AUTO_TEST_CASE(BytesStayBelowTheBudgetAtEverySize) {
   for (const int vms : {2, 10, 24, 200}) {
     view_sender sender = MakeSender(vms);
     sender.Settle();
-    // An hour, since a repeat to all peers takes a minute at 200 VMs.
+    // An hour, since a repeat to all peers takes minutes at 200 VMs.
     const double idle = sender.BytesPerSecond(seconds(3600), [] {});
     pcg32 random(7);
     const double busy = sender.BytesPerSecond(seconds(600), [&] {
@@ -158,7 +158,7 @@
                          [&](const auto& one) { return one.second > lost; });
     };
     while (!all_sent_again() && sender.now < lost + seconds(300)) sender.Tick();
-    BOOST_TEST_MESSAGE(vms << " VMs: all peers received it after "
+    BOOST_TEST_MESSAGE(vms << " VMs: repeat sent to all peers after "
                            << ToSeconds(sender.now - lost) << " s");
     BOOST_TEST(all_sent_again());
     // One round of all peers at the other zones' share of the budget, after the
@@ -245,8 +245,8 @@
   BOOST_TEST(far > 0);
 }
 
-// Entries move more or less of their zone's traffic by bands of the expected
-// wait. With a message that is a second late they go on moving for too long.
+// Entries send more or less traffic past their zone by bands of the expected
+// wait. With a message that is a second late they go on for too long.
 BOOST_AUTO_TEST_CASE(WaitBandChangeIsSentToTheZoneAtOnce) {
   view_sender sender(3, 8, 12);
   sender.Settle();
