--- a/include/citron/node/store_sync.h
+++ b/include/citron/node/store_sync.h
@@ -33,7 +33,7 @@
   void RunFeed(monotonic_time now);
   void PlanSources();
   vm_listing OwnListing() const;
-  void AskRelay(const vm_listing& relay, const fleet_feed::order& order,
+  void AskRelay(const vm_listing& relay, const fleet_feed::feed_call& order,
                 monotonic_time now);
   void OnRelayed(const vm_id& relay, const result<feed_answer>& answer);
   void Apply(const key_change& change, monotonic_time now);
--- a/include/citron/protocol/change_index.h
+++ b/include/citron/protocol/change_index.h
@@ -50,7 +50,7 @@
 
   // Returns the changes after `revision` in order, or std::nullopt if some of
   // them may be no longer known.
-  std::optional<std::vector<key_change>> After(store_revision revision) const;
+  std::optional<std::vector<key_change>> ChangesAfter(store_revision revision) const;
   // Returns whether the changes after `revision`, if known, include more than
   // confirmations; true if they are no longer known.
   bool HasNewsAfter(store_revision revision) const;
--- a/include/citron/protocol/fleet_feed.h
+++ b/include/citron/protocol/fleet_feed.h
@@ -51,7 +51,7 @@
 class fleet_feed {
  public:
   enum class call { kRange, kWatch };
-  struct order {
+  struct feed_call {
     call what = call::kRange;
     // Revision after which a watch or relayed request reports changes.
     std::uint64_t after = 0;
@@ -69,7 +69,7 @@
   // Returns the call to make now, if any, and counts it as sent. With
   // `may_relay` the call goes to another VM if there is a local copy that the
   // answer can add to.
-  std::optional<order> Next(monotonic_time now, bool may_relay = false);
+  std::optional<feed_call> NextCall(monotonic_time now, bool may_relay = false);
   // Returns when Next may return a call if none is in flight.
   monotonic_time NextAt() const { return next_at_; }
 
--- a/include/citron/protocol/view_pacer.h
+++ b/include/citron/protocol/view_pacer.h
@@ -14,7 +14,7 @@
 
 namespace citron {
 
-enum class view_distance : std::uint8_t { kZone, kRegion, kFar };
+enum class view_distance : std::uint8_t { kZone, kRegion, kRemoteRegion };
 
 // A VM that receives this VM's view.
 struct view_peer {
--- a/src/control/control_task.cc
+++ b/src/control/control_task.cc
@@ -395,7 +395,7 @@
     view_peer peer;
     peer.vm = vm;
     if (member->region != settings_.common.region) {
-      peer.distance = view_distance::kFar;
+      peer.distance = view_distance::kRemoteRegion;
     } else if (member->zone != settings_.common.zone) {
       peer.distance = view_distance::kRegion;
     }
--- a/src/node/feed_relay.cc
+++ b/src/node/feed_relay.cc
@@ -79,7 +79,7 @@
   answer.proof_age = now - *context_.feed.ProvenAt();
   answer.lapsed_left =
       std::max(duration::zero(), context_.feed.LapsedUntil() - now);
-  auto changes = index_.After(waiting.question.after);
+  auto changes = index_.ChangesAfter(waiting.question.after);
   answer.history_gone = !changes.has_value();
   if (changes) answer.changes = std::move(*changes);
   context_.stats.Count("citron_feed_answers_total", {});
--- a/src/node/store_sync.cc
+++ b/src/node/store_sync.cc
@@ -63,8 +63,8 @@
 void store_sync::RunFeed(monotonic_time now) {
   PlanSources();
   const std::optional<vm_id> source = sources_.Next(now);
-  const std::optional<fleet_feed::order> order =
-      context_.feed.Next(now, source.has_value());
+  const std::optional<fleet_feed::feed_call> order =
+      context_.feed.NextCall(now, source.has_value());
   if (!order) return;
   if (order->relayed) {
     return AskRelay(context_.fleet.Vms().at(*source), *order, now);
@@ -81,7 +81,7 @@
 }
 
 void store_sync::AskRelay(const vm_listing& relay,
-                          const fleet_feed::order& order, monotonic_time now) {
+                          const fleet_feed::feed_call& order, monotonic_time now) {
   const monotonic_time deadline = now + order.wait + kRelayLimit;
   relays_.Ask(relay, order.after, order.wait, deadline,
               [this, vm = relay.vm](const result<feed_answer>& answer) {
--- a/src/protocol/change_index.cc
+++ b/src/protocol/change_index.cc
@@ -97,7 +97,7 @@
   return revision < known_from_ || revision < changed_at_;
 }
 
-std::optional<std::vector<key_change>> change_index::After(
+std::optional<std::vector<key_change>> change_index::ChangesAfter(
     store_revision revision) const {
   if (revision < known_from_) return std::nullopt;
   std::vector<key_change> changes;
--- a/src/protocol/fleet_feed.cc
+++ b/src/protocol/fleet_feed.cc
@@ -13,20 +13,20 @@
       std::clamp(stretched, options_.min_interval, options_.max_interval);
 }
 
-std::optional<fleet_feed::order> fleet_feed::Next(monotonic_time now,
+std::optional<fleet_feed::feed_call> fleet_feed::NextCall(monotonic_time now,
                                                   bool may_relay) {
   if (in_flight_ || now < next_at_) return std::nullopt;
   in_flight_ = true;
   sent_at_ = now;
   if (may_relay && !needs_store_copy_) {
-    return order{call::kWatch, revision_, options_.relay_wait, true};
+    return feed_call{call::kWatch, revision_, options_.relay_wait, true};
   }
-  if (needs_range_) return order{call::kRange, 0, {}, false};
+  if (needs_range_) return feed_call{call::kRange, 0, {}, false};
   const duration left = options_.max_proof_age - (now - *proven_at_);
   const duration longest =
       is_shared_ ? options_.shared_watch_wait : options_.watch_wait;
   wait_ = std::clamp(left, options_.min_wait, longest);
-  return order{call::kWatch, revision_, wait_, false};
+  return feed_call{call::kWatch, revision_, wait_, false};
 }
 
 void fleet_feed::OnRange(std::uint64_t revision, monotonic_time now) {
--- a/src/protocol/view_pacer.cc
+++ b/src/protocol/view_pacer.cc
@@ -280,14 +280,14 @@
   const base_intervals base{
       {view_distance::kZone, options_.interval},
       {view_distance::kRegion, options_.interval * kRegionFactor},
-      {view_distance::kFar, options_.interval * kFarFactor}};
+      {view_distance::kRemoteRegion, options_.interval * kFarFactor}};
   return StretchedInterval(base, distance, options_.bytes_per_s);
 }
 
 duration view_pacer::RepeatInterval(view_distance distance) const {
   const base_intervals base{{view_distance::kZone, kZoneRepeat},
                             {view_distance::kRegion, kRegionRepeat},
-                            {view_distance::kFar, kFarRepeat}};
+                            {view_distance::kRemoteRegion, kFarRepeat}};
   return std::max(
       StretchedInterval(base, distance, options_.bytes_per_s * kRepeatShare),
       ChangeInterval(distance));
--- a/tests/protocol/change_index_test.cc
+++ b/tests/protocol/change_index_test.cc
@@ -37,9 +37,9 @@
   index.OnWritten(Item("a", "3", 7));
   index.OnRemoved("b", 8);
   index.OnRevision(8);
-  BOOST_TEST(Text(index.After(5)) == "a=3 b- ");
-  BOOST_TEST(Text(index.After(7)) == "b- ");
-  BOOST_TEST(Text(index.After(8)) == "");
+  BOOST_TEST(Text(index.ChangesAfter(5)) == "a=3 b- ");
+  BOOST_TEST(Text(index.ChangesAfter(7)) == "b- ");
+  BOOST_TEST(Text(index.ChangesAfter(8)) == "");
   BOOST_TEST(!index.HasNewsAfter(8));
 }
 
@@ -49,18 +49,18 @@
   change_index index;
   index.OnCopy({Item("a", "long", 3)}, 5);
   index.OnConfirmed("a", 6);
-  BOOST_TEST(Text(index.After(5)) == "a~ ");
+  BOOST_TEST(Text(index.ChangesAfter(5)) == "a~ ");
   BOOST_TEST(!index.HasNewsAfter(5));
   index.OnWritten(Item("a", "new", 7));
   index.OnConfirmed("a", 9);
-  BOOST_TEST(Text(index.After(5)) == "a=new ");
-  BOOST_TEST(Text(index.After(8)) == "a~ ");
+  BOOST_TEST(Text(index.ChangesAfter(5)) == "a=new ");
+  BOOST_TEST(Text(index.ChangesAfter(8)) == "a~ ");
 }
 
 BOOST_AUTO_TEST_CASE(BeforeTheFirstCopyNothingIsKnown) {
   change_index index;
   index.OnCopy({Item("a", "1", 3)}, 5);
-  BOOST_TEST(Text(index.After(4)) == "gone");
+  BOOST_TEST(Text(index.ChangesAfter(4)) == "gone");
   BOOST_TEST(index.HasNewsAfter(4));
 }
 
@@ -70,7 +70,7 @@
   change_index index;
   index.OnCopy({Item("a", "1", 3), Item("b", "1", 4)}, 5);
   index.OnCopy({Item("b", "1", 4), Item("c", "1", 8)}, 9);
-  BOOST_TEST(Text(index.After(5)) == "c=1 a- ");
+  BOOST_TEST(Text(index.ChangesAfter(5)) == "c=1 a- ");
 }
 
 BOOST_AUTO_TEST_CASE(AKeyWrittenAfterRemovalIsPresent) {
@@ -78,10 +78,10 @@
   index.OnCopy({Item("a", "1", 3)}, 5);
   index.OnRemoved("a", 6);
   index.OnConfirmed("a", 7);
-  BOOST_TEST(Text(index.After(5)) == "a- ");
+  BOOST_TEST(Text(index.ChangesAfter(5)) == "a- ");
   index.OnWritten(Item("a", "1", 8));
-  BOOST_TEST(Text(index.After(5)) == "a=1 ");
-  BOOST_TEST(Text(index.After(6)) == "a=1 ");
+  BOOST_TEST(Text(index.ChangesAfter(5)) == "a=1 ");
+  BOOST_TEST(Text(index.ChangesAfter(6)) == "a=1 ");
 }
 
 // Removed keys can't be kept for ever. A reader at a revision before a dropped
@@ -91,10 +91,10 @@
   index.OnCopy({Item("a", "1", 1), Item("b", "1", 2), Item("c", "1", 3)}, 5);
   index.OnRemoved("a", 6);
   index.OnRemoved("b", 7);
-  BOOST_TEST(Text(index.After(5)) == "a- b- ");
+  BOOST_TEST(Text(index.ChangesAfter(5)) == "a- b- ");
   index.OnRemoved("c", 8);
-  BOOST_TEST(Text(index.After(5)) == "gone");
-  BOOST_TEST(Text(index.After(6)) == "b- c- ");
+  BOOST_TEST(Text(index.ChangesAfter(5)) == "gone");
+  BOOST_TEST(Text(index.ChangesAfter(6)) == "b- c- ");
 }
 
 // Changes that arrive by two paths overtake each other.
@@ -104,7 +104,7 @@
   index.OnWritten(Item("a", "3", 8));
   index.OnWritten(Item("a", "2", 7));
   index.OnRemoved("a", 6);
-  BOOST_TEST(Text(index.After(5)) == "a=3 ");
+  BOOST_TEST(Text(index.ChangesAfter(5)) == "a=3 ");
 }
 
 // A follower that reads at random moments, from either of two indexes that
@@ -138,7 +138,7 @@
     }
     for (change_index& index : indexes) index.OnRevision(revision);
     if (random(5) != 0) continue;
-    const auto changes = indexes[random(2)].After(follower_at);
+    const auto changes = indexes[random(2)].ChangesAfter(follower_at);
     BOOST_REQUIRE(changes);
     for (const key_change& change : *changes) {
       if (change.what == kind::kRemoved) {
--- a/tests/protocol/fleet_feed_test.cc
+++ b/tests/protocol/fleet_feed_test.cc
@@ -14,7 +14,7 @@
 
   // Reads a first full copy without delay.
   void ReadCopy(std::uint64_t revision) {
-    BOOST_REQUIRE(feed_.Next(now_).has_value());
+    BOOST_REQUIRE(feed_.NextCall(now_).has_value());
     feed_.OnRange(revision, now_);
   }
 
@@ -25,12 +25,12 @@
 BOOST_FIXTURE_TEST_SUITE(feed, feed_fixture)
 
 BOOST_AUTO_TEST_CASE(StartsWithAFullCopyThenWatches) {
-  BOOST_CHECK(feed_.Next(now_)->what == fleet_feed::call::kRange);
-  BOOST_CHECK(!feed_.Next(now_));
+  BOOST_CHECK(feed_.NextCall(now_)->what == fleet_feed::call::kRange);
+  BOOST_CHECK(!feed_.NextCall(now_));
   feed_.OnRange(41, now_);
-  BOOST_CHECK(!feed_.Next(now_));
+  BOOST_CHECK(!feed_.NextCall(now_));
   now_ += seconds(1);
-  const auto order = feed_.Next(now_);
+  const auto order = feed_.NextCall(now_);
   BOOST_REQUIRE(order);
   BOOST_CHECK(order->what == fleet_feed::call::kWatch);
   BOOST_TEST(order->after == 41u);
@@ -43,7 +43,7 @@
   std::uint64_t calls = 0;
   for (int ms = 0; ms < 6000; ms += 10) {
     now_ += milliseconds(10);
-    if (!feed_.Next(now_)) continue;
+    if (!feed_.NextCall(now_)) continue;
     ++calls;
     feed_.OnEvents(calls + 1, true, now_);
   }
@@ -58,7 +58,7 @@
   ReadCopy(5);
   now_ += milliseconds(300);
   const monotonic_time sent = now_;
-  BOOST_REQUIRE(feed_.Next(now_));
+  BOOST_REQUIRE(feed_.NextCall(now_));
   now_ += seconds(9);
   feed_.OnEvents(5, false, now_);
   BOOST_CHECK(feed_.ProvenAt() == sent + seconds(2));
@@ -68,7 +68,7 @@
   ReadCopy(5);
   now_ += seconds(1);
   const monotonic_time sent = now_;
-  BOOST_REQUIRE(feed_.Next(now_));
+  BOOST_REQUIRE(feed_.NextCall(now_));
   now_ += milliseconds(1500);
   feed_.OnEvents(6, true, now_);
   BOOST_CHECK(feed_.ProvenAt() == sent);
@@ -83,7 +83,7 @@
   std::uint64_t calls = 0;
   for (int ms = 0; ms < 11000; ms += 10) {
     now_ += milliseconds(10);
-    if (!feed_.Next(now_)) continue;
+    if (!feed_.NextCall(now_)) continue;
     ++calls;
     feed_.OnEvents(calls + 1, true, now_);
   }
@@ -93,7 +93,7 @@
 // A late answer proves only the state at the time of the request. A VM that
 // counted from the answer would admit withdrawn keys for longer.
 BOOST_AUTO_TEST_CASE(TheProofCountsFromTheRequest) {
-  BOOST_REQUIRE(feed_.Next(now_));
+  BOOST_REQUIRE(feed_.NextCall(now_));
   const monotonic_time sent = now_;
   now_ += milliseconds(900);
   feed_.OnRange(5, now_);
@@ -109,7 +109,7 @@
   ReadCopy(5);
   for (std::uint64_t i = 0; i < 20; ++i) {
     now_ = std::max(now_, feed_.NextAt());
-    const auto order = feed_.Next(now_);
+    const auto order = feed_.NextCall(now_);
     BOOST_REQUIRE(order);
     const bool change = i % 3 != 2;
     now_ += change ? order->wait - milliseconds(10) : order->wait;
@@ -123,9 +123,9 @@
 BOOST_AUTO_TEST_CASE(ACompactedHistoryIsReadAgainAtOnce) {
   ReadCopy(5);
   now_ += seconds(1);
-  BOOST_REQUIRE(feed_.Next(now_));
+  BOOST_REQUIRE(feed_.NextCall(now_));
   feed_.OnCompacted(now_);
-  const auto order = feed_.Next(now_);
+  const auto order = feed_.NextCall(now_);
   BOOST_REQUIRE(order);
   BOOST_CHECK(order->what == fleet_feed::call::kRange);
 }
@@ -134,12 +134,12 @@
 BOOST_AUTO_TEST_CASE(AFailureForcesAFullCopy) {
   ReadCopy(5);
   now_ += seconds(1);
-  BOOST_REQUIRE(feed_.Next(now_));
+  BOOST_REQUIRE(feed_.NextCall(now_));
   feed_.OnFailed(now_);
   BOOST_TEST(!feed_.IsConnected());
-  BOOST_CHECK(!feed_.Next(now_));
+  BOOST_CHECK(!feed_.NextCall(now_));
   now_ += milliseconds(300);
-  BOOST_CHECK(feed_.Next(now_)->what == fleet_feed::call::kRange);
+  BOOST_CHECK(feed_.NextCall(now_)->what == fleet_feed::call::kRange);
 }
 
 // Entries expire while the store is unreachable, and their owners write them
@@ -148,10 +148,10 @@
 BOOST_AUTO_TEST_CASE(MissingEntriesGetAGraceAfterAnOutage) {
   ReadCopy(5);
   now_ += seconds(1);
-  BOOST_REQUIRE(feed_.Next(now_));
+  BOOST_REQUIRE(feed_.NextCall(now_));
   feed_.OnFailed(now_);
   now_ += seconds(4);
-  BOOST_REQUIRE(feed_.Next(now_));
+  BOOST_REQUIRE(feed_.NextCall(now_));
   feed_.OnRange(9, now_);
   BOOST_CHECK(feed_.LapsedUntil() == now_ + milliseconds(2100));
   BOOST_TEST(feed_.IsConnected());
@@ -165,7 +165,7 @@
   ReadCopy(5);
   now_ += seconds(1);
   const monotonic_time sent = now_;
-  const auto order = feed_.Next(now_, true);
+  const auto order = feed_.NextCall(now_, true);
   BOOST_REQUIRE(order);
   BOOST_TEST(order->relayed);
   BOOST_TEST(order->after == 5u);
@@ -180,21 +180,21 @@
   ReadCopy(5);
   const monotonic_time proven = *feed_.ProvenAt();
   now_ += milliseconds(400);
-  BOOST_REQUIRE(feed_.Next(now_, true));
+  BOOST_REQUIRE(feed_.NextCall(now_, true));
   feed_.OnRelayed(5, {}, seconds(3), {}, now_);
   BOOST_CHECK(feed_.ProvenAt() == proven);
 }
 
 BOOST_AUTO_TEST_CASE(WithoutACopyOnlyTheStoreIsRead) {
-  auto order = feed_.Next(now_, true);
+  auto order = feed_.NextCall(now_, true);
   BOOST_REQUIRE(order);
   BOOST_TEST(!order->relayed);
   BOOST_CHECK(order->what == fleet_feed::call::kRange);
   feed_.OnRange(5, now_);
   now_ += seconds(1);
-  BOOST_TEST(feed_.Next(now_, true)->relayed);
+  BOOST_TEST(feed_.NextCall(now_, true)->relayed);
   feed_.OnCompacted(now_);
-  order = feed_.Next(now_, true);
+  order = feed_.NextCall(now_, true);
   BOOST_REQUIRE(order);
   BOOST_TEST(!order->relayed);
 }
@@ -204,10 +204,10 @@
 BOOST_AUTO_TEST_CASE(RelayedAnswersReplaceAnUnreachableStore) {
   ReadCopy(5);
   now_ += seconds(1);
-  BOOST_REQUIRE(feed_.Next(now_));
+  BOOST_REQUIRE(feed_.NextCall(now_));
   feed_.OnFailed(now_);
   now_ += seconds(1);
-  const auto order = feed_.Next(now_, true);
+  const auto order = feed_.NextCall(now_, true);
   BOOST_REQUIRE(order);
   BOOST_TEST(order->relayed);
   feed_.OnRelayed(7, {}, {}, {}, now_);
@@ -219,9 +219,9 @@
 BOOST_AUTO_TEST_CASE(AFailedRelayCostsNoWait) {
   ReadCopy(5);
   now_ += seconds(1);
-  BOOST_REQUIRE(feed_.Next(now_, true));
+  BOOST_REQUIRE(feed_.NextCall(now_, true));
   feed_.OnRelayFailed(now_);
-  BOOST_TEST(feed_.Next(now_, true).has_value());
+  BOOST_TEST(feed_.NextCall(now_, true).has_value());
 }
 
 // Entries that may only have expired in an outage at the other VM are kept for
@@ -229,7 +229,7 @@
 BOOST_AUTO_TEST_CASE(ARelayedOutageKeepsMissingEntries) {
   ReadCopy(5);
   now_ += seconds(1);
-  BOOST_REQUIRE(feed_.Next(now_, true));
+  BOOST_REQUIRE(feed_.NextCall(now_, true));
   feed_.OnRelayed(7, {}, {}, milliseconds(1500), now_);
   BOOST_CHECK(feed_.LapsedUntil() == now_ + milliseconds(1500));
 }
@@ -241,7 +241,7 @@
                          fleet_feed(feed_options{})};
   feeds[0].SetShared(true);
   for (fleet_feed& feed : feeds) {
-    BOOST_REQUIRE(feed.Next(now_));
+    BOOST_REQUIRE(feed.NextCall(now_));
     feed.OnRange(5, now_);
   }
   struct pending_call {
@@ -264,7 +264,7 @@
                              now_);
         }
       }
-      const auto order = feeds[i].Next(now_, i > 0);
+      const auto order = feeds[i].NextCall(now_, i > 0);
       if (order) call = {true, now_, order->wait};
       oldest = std::max(oldest, now_ - *feeds[i].ProvenAt());
     }
--- a/tests/protocol/view_pacer_test.cc
+++ b/tests/protocol/view_pacer_test.cc
@@ -21,7 +21,7 @@
   explicit view_sender(int zone, int region = 0, int far = 0) {
     Add(view_distance::kZone, zone);
     Add(view_distance::kRegion, region);
-    Add(view_distance::kFar, far);
+    Add(view_distance::kRemoteRegion, far);
     pacer.SetPeers(peers);
     scheduler_load load;
     load.slots = 40;
@@ -239,7 +239,7 @@
   }
   const int zone = counts[view_distance::kZone] / 2;
   const int region = counts[view_distance::kRegion] / 4;
-  const int far = counts[view_distance::kFar] / 8;
+  const int far = counts[view_distance::kRemoteRegion] / 8;
   BOOST_TEST(zone > region);
   BOOST_TEST(region > far);
   BOOST_TEST(far > 0);
@@ -281,7 +281,7 @@
   sender.Tick();
   last.silent = false;
   BOOST_TEST(gets_view_now(last.vm));
-  sender.Add(view_distance::kFar, 1);
+  sender.Add(view_distance::kRemoteRegion, 1);
   BOOST_TEST(gets_view_now(sender.peers.back().vm));
 }
 
