--- a/bench/policy_placement_bench.cc
+++ b/bench/policy_placement_bench.cc
@@ -39,13 +39,13 @@
     place.OnPermits(kDesk, region_id("region-" + std::to_string(i)),
                     1'000'000'000, now + std::chrono::hours(1));
   }
-  const place_request request{.service = kDesk,
-                              .request_class = "lookup",
-                              .deadline = now + std::chrono::seconds(1)};
+  const placement_request request{.service = kDesk,
+                                  .request_class = "lookup",
+                                  .deadline = now + std::chrono::seconds(1)};
   int abroad = 0;
   for (auto _ : state) {
-    const place_result result = place.Choose(request, now);
-    const auto* choice = std::get_if<place_choice>(&result);
+    const placement_result result = place.Choose(request, now);
+    const auto* choice = std::get_if<placement_decision>(&result);
     if (choice != nullptr && choice->region.Str() != "region-0") ++abroad;
   }
   state.counters["abroad"] = abroad / static_cast<double>(state.iterations());
--- a/bench/protocol_state_bench.cc
+++ b/bench/protocol_state_bench.cc
@@ -35,7 +35,7 @@
 
 json Fields(const heartbeat& h) {
   return {Fields(h.member),     h.sequence,         h.revision,
-          h.config_age.count(), h.interval.count(), h.world_hash};
+          h.config_age.count(), h.interval.count(), h.remote_zones_hash};
 }
 
 json Fields(const config_delta& d) {
--- a/fuzz/wire_message_fuzz.cc
+++ b/fuzz/wire_message_fuzz.cc
@@ -27,7 +27,7 @@
   TryAs<store_answer_message>(bytes);
   TryAs<config_pull_message>(bytes);
   TryAs<config_delta_message>(bytes);
-  TryAs<loan_message<loan_ask>>(bytes);
+  TryAs<loan_message<loan_request>>(bytes);
   TryAs<loan_message<loan_grant>>(bytes);
   TryAs<loan_message<loan_return>>(bytes);
   TryAs<poison_message>(bytes);
--- a/include/citron/control/share_feed.h
+++ b/include/citron/control/share_feed.h
@@ -18,7 +18,7 @@
 
   void Start();
   void OnMembership(const std::set<vm_id>& live);
-  void OnGoneVms(const std::set<vm_id>& gone);
+  void OnVmsDeclaredDead(const std::set<vm_id>& gone);
   void OnGrantApplied(std::uint64_t sequence);
   // Gives the share back; `released` is called when the table says so.
   void Release(std::function<void()> released);
--- a/include/citron/dispatch/owner_driver.h
+++ b/include/citron/dispatch/owner_driver.h
@@ -29,7 +29,7 @@
   void Leave(std::function<void()> left);
 
   bool OnStoreAnswer(const store_answer_message& message);
-  void OnPromiseAsk(const promise_ask& message);
+  void OnPromiseRequest(const promise_request& message);
   void OnPromise(const promise& message);
 
   bool MaySend(const upstream_id& upstream, monotonic_time now) const {
@@ -38,7 +38,9 @@
   int ReservedSlots(const upstream_id& upstream) const {
     return ownership_.ReservedSlots(upstream);
   }
-  std::set<upstream_id> AssignedUpstreams() const { return ownership_.AssignedUpstreams(); }
+  std::set<upstream_id> AssignedUpstreams() const {
+    return ownership_.AssignedUpstreams();
+  }
   monotonic_time SendDeadline() const { return ownership_.SendDeadline(); }
   vm_id OwnerOf(const upstream_id& upstream) const {
     return ownership_.OwnerOf(upstream);
@@ -48,7 +50,7 @@
   void Perform(const ownership::actions& actions);
   void Do(const ownership_action::read_table& action);
   void Do(const ownership_action::write_table& action);
-  void Do(const ownership_action::send_promise_ask& action);
+  void Do(const ownership_action::send_promise_request& action);
   void Do(const ownership_action::send_promise& action);
   void Do(const ownership_action::ownership_changed& action);
   void Do(const ownership_action::left& action);
--- a/include/citron/entry/entry_task.h
+++ b/include/citron/entry/entry_task.h
@@ -67,12 +67,12 @@
   template <class T>
   void OnLimitMessage(const envelope& message);
   void PerformLimits(const limit_actions& actions);
-  void Do(const let_in& action);
-  void Do(const turn_away& action);
-  void Do(const send_loan_ask& ask);
+  void Do(const admit_waiting& action);
+  void Do(const reject_waiting& action);
+  void Do(const send_loan_request& ask);
   void Do(const send_loan_grant& grant);
   void Do(const send_loan_return& returned);
-  void Do(const send_token_ask& ask);
+  void Do(const send_token_request& ask);
   void Do(const send_token_grant& grant);
   template <class T>
   void SendToEntry(const entry_ref& to, message_type type, const T& message);
--- a/include/citron/node/fleet_state.h
+++ b/include/citron/node/fleet_state.h
@@ -45,9 +45,9 @@
 
   // Null if nothing is known of it.
   affinity_selector* SelectorOf(const service_id& service);
-  upstream_standing* FindUpstream(const upstream_id& id);
+  upstream_tracker* FindUpstream(const upstream_id& id);
   // What an upstream said of its load to this VM.
-  void OnUpstreamLoad(upstream_standing& upstream, const load_report& report,
+  void OnUpstreamLoad(upstream_tracker& upstream, const load_report& report,
                       monotonic_time now);
   // The last of them of each upstream since this was asked, for other VMs.
   std::map<upstream_id, int> TakeHeardLoads();
@@ -76,7 +76,7 @@
   void SetClosedZones();
   void SetFleetSize();
   void SetColdAllowances();
-  cold_allowance AllowanceFor(const upstream_standing& upstream) const;
+  cold_allowance AllowanceFor(const upstream_tracker& upstream) const;
   affinity_selector& MakeSelector(const service_id& service);
 
   const node_settings& settings_;
--- a/include/citron/node/node_context.h
+++ b/include/citron/node/node_context.h
@@ -29,7 +29,7 @@
 // Whether callers should be sent to a VM, as it says of itself.
 struct vm_condition {
   bool ready = false;
-  bool strained = false;  // It has little of its processor left.
+  bool near_capacity = false;  // It has little of its processor left.
 };
 
 // How old the copy of the store is proved to be, for the log; -1 without one.
--- a/include/citron/node/peer_exchange.h
+++ b/include/citron/node/peer_exchange.h
@@ -38,14 +38,14 @@
   bool IsHeard(const vm_id& vm, monotonic_time now) const;
   // What it said last; true if it was never heard.
   bool IsReady(const vm_id& vm) const;
-  bool IsStrained(const vm_id& vm) const;
+  bool IsNearCapacity(const vm_id& vm) const;
 
  private:
   struct peer_state {
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
     bool ready = true;
-    bool strained = false;
+    bool near_capacity = false;
     bool serves = false;
     std::int64_t told_at = 0;  // By its own clock.
     monotonic_time heard_at{};
--- a/include/citron/node/peer_report.h
+++ b/include/citron/node/peer_report.h
@@ -30,7 +30,7 @@
   std::uint64_t incarnation = 0;
   std::uint64_t sequence = 0;
   bool ready = false;
-  bool strained = false;  // It has little of its processor left.
+  bool near_capacity = false;  // It has little of its processor left.
   std::vector<quota_line> quotas;
   std::vector<load_line> loads;
   // By the teller's steady clock, in nanoseconds.
@@ -54,8 +54,8 @@
 
 inline auto WireFields(peer_report& report) {
   return std::tie(report.vm, report.incarnation, report.sequence, report.ready,
-                  report.strained, report.quotas, report.loads, report.told_at,
-                  report.has_heard, report.tells_again_ms,
+                  report.near_capacity, report.quotas, report.loads,
+                  report.told_at, report.has_heard, report.tells_again_ms,
                   report.heard_unlisted);
 }
 
--- a/include/citron/policy/admission_wait.h
+++ b/include/citron/policy/admission_wait.h
@@ -33,7 +33,7 @@
   bool may_borrow = false;
   // When this entry's rate will have refilled a token, after the tokens for the
   // requests that already wait.
-  std::optional<monotonic_time> own_token_at;
+  std::optional<monotonic_time> local_token_at;
   double contract_rate_per_s = 0;
   // Set at an entry that has just started: when the entry's share begins.
   std::optional<monotonic_time> share_begins_at;
--- a/include/citron/policy/affinity_selector.h
+++ b/include/citron/policy/affinity_selector.h
@@ -12,7 +12,7 @@
 #include "citron/base/strong_id.h"
 #include "citron/base/time.h"
 #include "citron/policy/service_time_estimate.h"
-#include "citron/policy/upstream_standing.h"
+#include "citron/policy/upstream_tracker.h"
 
 namespace citron {
 
@@ -52,8 +52,8 @@
   std::uint64_t object = 0;  // Equal for all requests of one object.
   bool large_answer = false;
   duration latency_goal{};  // Zero: no goal.
-  const std::set<region_id>* route_homes = nullptr;
-  const std::set<region_id>* workspace_homes = nullptr;
+  const std::set<region_id>* route_allowed_regions = nullptr;
+  const std::set<region_id>* workspace_allowed_regions = nullptr;
   const std::vector<upstream_id>* excluded_upstreams = nullptr;
 };
 
@@ -86,8 +86,8 @@
                    monotonic_time now);
   void RemoveUpstream(const upstream_id& id);
   // Returns null if the upstream is not known.
-  upstream_standing* Find(const upstream_id& id);
-  void ForEach(const std::function<void(upstream_standing&)>& visit);
+  upstream_tracker* Find(const upstream_id& id);
+  void ForEach(const std::function<void(upstream_tracker&)>& visit);
   void SetClosedZones(const std::set<zone_id>& zones);
 
   std::variant<selection, selection_error> Choose(
@@ -108,28 +108,28 @@
  private:
   struct candidate {
     double cost = 0;
-    const upstream_standing* upstream = nullptr;
+    const upstream_tracker* upstream = nullptr;
   };
   struct path_state {
     int failures = 0;
     monotonic_time backoff_until{};
   };
 
-  bool IsAllowed(const upstream_standing& upstream,
+  bool IsAllowed(const upstream_tracker& upstream,
                  const selection_request& request) const;
-  bool IsAvailable(const upstream_standing& upstream,
+  bool IsAvailable(const upstream_tracker& upstream,
                    const selection_request& request, bool include_ejected,
                    monotonic_time now) const;
   void KeepPreferredReplicas(std::vector<candidate>& candidates) const;
   // Returns null if no replica has spare capacity.
-  const upstream_standing* FindSpareReplica(
+  const upstream_tracker* FindSpareReplica(
       const std::vector<candidate>& replicas, monotonic_time now) const;
   double LoadLimit(const selection_request& request) const;
-  double PlacementWeight(const upstream_standing& upstream,
+  double PlacementWeight(const upstream_tracker& upstream,
                          bool large_answer) const;
 
   selector_options options_;
-  std::map<upstream_id, upstream_standing> upstreams_;
+  std::map<upstream_id, upstream_tracker> upstreams_;
   std::set<zone_id> closed_zones_;
   std::map<zone_id, path_state> paths_;
   service_time_estimate service_time_;
--- a/include/citron/policy/fair_queue.h
+++ b/include/citron/policy/fair_queue.h
@@ -36,7 +36,7 @@
   // Returns the request to reject when the queue is full: the request with the
   // greatest `latest_start`, of the workspace with most queued cost for its
   // weight.
-  std::optional<queued_request> Surplus() const;
+  std::optional<queued_request> RejectionCandidate() const;
 
   bool IsEmpty() const { return size_ == 0; }
   std::size_t Size() const { return size_; }
--- a/include/citron/policy/placement.h
+++ b/include/citron/policy/placement.h
@@ -59,7 +59,7 @@
   duration link_burst = std::chrono::milliseconds(200);
 };
 
-struct place_request {
+struct placement_request {
   service_id service;
   std::string request_class;
   monotonic_time deadline;
@@ -67,24 +67,24 @@
   std::vector<zone_id> excluded;  // Zones that were already tried.
 };
 
-struct passed_over {
+struct skipped_zone {
   zone_id zone;
   std::string reason;
 };
 
-struct place_choice {
+struct placement_decision {
   zone_id zone;
   region_id region;
   std::string reason;
-  std::vector<passed_over> skipped_zones;
+  std::vector<skipped_zone> skipped_zones;
 };
 
-using place_result = std::variant<place_choice, refusal>;
+using placement_result = std::variant<placement_decision, refusal>;
 
 // The number of attempts to send a request of the service to the region since
-// the last call of TakeWants, with or without a permit. The entry requests this
-// many permits from the receiving region's shift_ramp.
-struct permit_want {
+// the last call of TakePermitDemand, with or without a permit. The entry
+// requests this many permits from the receiving region's shift_ramp.
+struct permit_demand {
   service_id service;
   region_id region;
   int count = 0;
@@ -108,11 +108,11 @@
                  monotonic_time expires_at);
   // Returns the demand for permits since the last call and clears it, so that
   // the caller can request permits.
-  std::vector<permit_want> TakeWants();
+  std::vector<permit_demand> TakePermitDemand();
 
   // Chooses a zone. Choosing a zone in a remote region consumes a permit and
   // link bytes at once.
-  place_result Choose(const place_request& request, monotonic_time now);
+  placement_result Choose(const placement_request& request, monotonic_time now);
 
   void OnSent(const service_id& service, const zone_id& zone,
               monotonic_time now);
@@ -124,8 +124,8 @@
                  monotonic_time now);
   // Corrects the link budget to the actual size of a response from a remote
   // region.
-  void OnCrossed(const region_id& region, std::uint64_t expected_bytes,
-                 std::uint64_t used_bytes, monotonic_time now);
+  void OnRemoteResponse(const region_id& region, std::uint64_t expected_bytes,
+                        std::uint64_t used_bytes, monotonic_time now);
 
  private:
   struct zone_state {
@@ -157,26 +157,26 @@
   // Returns why the zone is not eligible, or an empty string if it is. Callers
   // check free slots; the local zone is chosen without this check.
   std::string IneligibleReason(const zone_state& z,
-                               const place_request& request,
+                               const placement_request& request,
                                monotonic_time now) const;
 
   bool LocalZoneServes(const service_zones& zones,
-                       const place_request& request) const;
+                       const placement_request& request) const;
   std::optional<candidate> ChooseInRegion(const service_zones& zones,
-                                          const place_request& request,
+                                          const placement_request& request,
                                           monotonic_time now,
-                                          place_choice& choice);
+                                          placement_decision& choice);
   std::optional<candidate> ChooseInRemoteRegion(
-      const service_zones& zones, const place_request& request,
-      const region_id& only, monotonic_time now, place_choice& choice,
+      const service_zones& zones, const placement_request& request,
+      const region_id& only, monotonic_time now, placement_decision& choice,
       std::optional<refusal>& earliest_refusal);
-  std::optional<candidate> ChooseWithoutFreeSlots(const service_zones& zones,
-                                                  const place_request& request,
-                                                  monotonic_time now);
+  std::optional<candidate> ChooseWithoutFreeSlots(
+      const service_zones& zones, const placement_request& request,
+      monotonic_time now);
   const candidate& ChooseOfTwo(const candidates& from);
   bool ShouldShift(const service_id& service);
 
-  std::optional<refusal> ReserveCrossRegion(const place_request& request,
+  std::optional<refusal> ReserveCrossRegion(const placement_request& request,
                                             const region_id& region,
                                             monotonic_time now);
   link_budget& Link(const region_id& region);
--- a/include/citron/policy/poison_registry.h
+++ b/include/citron/policy/poison_registry.h
@@ -42,14 +42,14 @@
                    bool was_isolated = true);
   // Extends the lifetime of an existing record after a crash that isn't
   // evidence against this request.
-  void OnUnprovenCrash(std::uint64_t fingerprint, monotonic_time now);
+  void ExtendLifetime(std::uint64_t fingerprint, monotonic_time now);
   // Records that a request with this fingerprint was answered, which clears the
   // record of the request unless the record is marked as convicted.
   void OnAnswered(std::uint64_t fingerprint, monotonic_time now);
   // Withdraws the crashes that are refuted by an answer to any request that was
   // sent to the upstream at `sent_at`: the upstream hasn't crashed since then.
   void OnUpstreamAlive(const upstream_id& upstream, monotonic_time sent_at,
-               monotonic_time now);
+                       monotonic_time now);
   // Records that another process convicted the request, or saw the request in
   // flight at a crash.
   void OnConvicted(std::uint64_t fingerprint, monotonic_time until);
@@ -62,7 +62,7 @@
 
   // Returns whether no request with this fingerprint is in flight as a suspect.
   bool MaySendSuspect(std::uint64_t fingerprint) const;
-  bool HoldsSuspect(const upstream_id& upstream) const;
+  bool HasSuspectInFlight(const upstream_id& upstream) const;
   void AddUpstreamsWithSuspects(std::vector<upstream_id>& upstreams) const;
   void OnSuspectSent(std::uint64_t fingerprint, const upstream_id& upstream);
   void OnSuspectDone(std::uint64_t fingerprint, const upstream_id& upstream);
--- a/include/citron/policy/processor_gauge.h
+++ b/include/citron/policy/processor_gauge.h
@@ -27,7 +27,7 @@
 
   // `used`: total processor time since the start of the process.
   void OnSample(duration used, monotonic_time now);
-  bool IsStrained() const { return is_near_capacity_; }
+  bool IsNearCapacity() const { return is_near_capacity_; }
 
  private:
   struct sample {
--- a/include/citron/policy/upstream_standing.h
+++ b/include/citron/policy/upstream_tracker.h
@@ -1,5 +1,5 @@
-#ifndef CITRON_POLICY_UPSTREAM_STANDING_H_
-#define CITRON_POLICY_UPSTREAM_STANDING_H_
+#ifndef CITRON_POLICY_UPSTREAM_TRACKER_H_
+#define CITRON_POLICY_UPSTREAM_TRACKER_H_
 
 #include <cstdint>
 
@@ -47,11 +47,11 @@
 
 // State of one upstream as seen by this VM: its announcement, this VM's
 // requests in flight, its load reports and the outcomes of requests.
-class upstream_standing {
+class upstream_tracker {
  public:
-  upstream_standing(const upstream_record& record, const region_id& region,
-                    monotonic_time now,
-                    const weight_control_options& weights = {});
+  upstream_tracker(const upstream_record& record, const region_id& region,
+                   monotonic_time now,
+                   const weight_control_options& weights = {});
 
   const upstream_record& Record() const { return record_; }
   // Returns whether the upstream announced that it leaves, or answered so since
@@ -65,12 +65,12 @@
   void OnRecord(const upstream_record& record, monotonic_time now);
   void SetColdAllowance(const cold_allowance& allowance);
   // Treats the upstream as cold for at least `left`, whatever it announced.
-  void OnCold(duration left, monotonic_time now);
+  void MarkCold(duration left, monotonic_time now);
 
   void OnSent(monotonic_time now);
   void OnReport(const load_report& report, monotonic_time now);
   // Takes the number of requests at the upstream that another VM reports.
-  void OnHeardLoad(int requests, monotonic_time now);
+  void OnPeerLoadReport(int requests, monotonic_time now);
   void OnDone(upstream_outcome outcome, monotonic_time now);
   int InFlight() const { return in_flight_; }
   // Returns the requests at the upstream: this VM's in flight and, while the
@@ -124,4 +124,4 @@
 
 }  // namespace citron
 
-#endif  // CITRON_POLICY_UPSTREAM_STANDING_H_
+#endif  // CITRON_POLICY_UPSTREAM_TRACKER_H_
--- a/include/citron/policy/vm_choice.h
+++ b/include/citron/policy/vm_choice.h
@@ -14,10 +14,10 @@
   zone_id zone;
   region_id region;
   endpoint caller_endpoint;
-  bool ready = true;  // The VM reports that it accepts requests.
+  bool ready = true;              // The VM reports that it accepts requests.
   bool has_recent_report = true;  // A recent report was received.
   double link_mbps = 0;
-  bool strained = false;  // The processor is near capacity.
+  bool near_capacity = false;  // The processor is near capacity.
 };
 
 // Returns the VMs to which callers of a zone are sent: the nearest VMs of the
--- a/include/citron/protocol/change_index.h
+++ b/include/citron/protocol/change_index.h
@@ -37,7 +37,8 @@
 
   // Takes a full copy of the store. Keys that are missing in it were removed.
   // Nothing is known of the time before the first full copy.
-  void OnCopy(const std::vector<store_item>& items, store_revision revision);
+  void OnFullCopy(const std::vector<store_item>& items,
+                  store_revision revision);
   // OnWritten, OnConfirmed and OnRemoved ignore a change that isn't newer than
   // the known state of the key. OnConfirmed also ignores unknown and removed
   // keys, OnRemoved removed keys.
@@ -50,10 +51,11 @@
 
   // Returns the changes after `revision` in order, or std::nullopt if some of
   // them may be no longer known.
-  std::optional<std::vector<key_change>> ChangesAfter(store_revision revision) const;
+  std::optional<std::vector<key_change>> ChangesAfter(
+      store_revision revision) const;
   // Returns whether the changes after `revision`, if known, include more than
   // confirmations; true if they are no longer known.
-  bool HasNewsAfter(store_revision revision) const;
+  bool HasChangesAfter(store_revision revision) const;
 
  private:
   struct key_state {
--- a/include/citron/protocol/feed_sources.h
+++ b/include/citron/protocol/feed_sources.h
@@ -30,8 +30,8 @@
 // the traffic that a VM sends grows with the size of a zone, and a change
 // passes two VMs at most. A VM that doesn't answer is skipped, in the end in
 // favor of the store, so that no VM depends on a single other VM.
-std::vector<vm_id> PlanFeed(const feed_member& self,
-                            const std::vector<feed_member>& all);
+std::vector<vm_id> PlanFeedSources(const feed_member& self,
+                                   const std::vector<feed_member>& all);
 
 struct feed_source_options {
   // Time for which a VM that gave no answer is skipped, doubled with each
--- a/include/citron/protocol/fleet_feed.h
+++ b/include/citron/protocol/fleet_feed.h
@@ -65,7 +65,7 @@
   // Sets the number of VMs that make calls to the store like this VM.
   void SetFleetSize(int vms);
   // Sets whether other VMs read changes from this VM.
-  void SetShared(bool shared) { is_shared_ = shared; }
+  void SetServesOthers(bool shared) { is_shared_ = shared; }
   // Returns the call to make now, if any, and counts it as sent. With
   // `may_relay` the call goes to another VM if there is a local copy that the
   // answer can add to.
@@ -93,13 +93,13 @@
   // Returns the moment up to which the local copy has every write that the
   // store acknowledged.
   std::optional<monotonic_time> ProvenAt() const { return proven_at_; }
-  bool IsProvenSince(duration age, monotonic_time now) const;
+  bool IsProvenWithin(duration age, monotonic_time now) const;
   // Returns whether there is a local copy and no call to the store failed since
   // the last answer.
   bool IsConnected() const { return failures_ == 0 && has_copy_; }
   // Returns until when entries that are missing in the store are kept, since
   // they may have expired in an outage and be written again.
-  monotonic_time LapsedUntil() const { return expiry_grace_until_; }
+  monotonic_time ExpiryGraceUntil() const { return expiry_grace_until_; }
   std::uint64_t Revision() const { return revision_; }
 
  private:
--- a/include/citron/protocol/loan_book.h
+++ b/include/citron/protocol/loan_book.h
@@ -23,7 +23,7 @@
 // return of a borrower; a message with an old number has no effect.
 
 // Requests a total of `ppb` from a lender, including what it has lent already.
-struct loan_ask {
+struct loan_request {
   workspace_id workspace;
   std::uint64_t number = 0;
   std::int64_t ppb = 0;
@@ -31,7 +31,7 @@
   std::int64_t duration_ms = 0;  // Counted from the request.
 };
 
-// The reply to a loan_ask; `ppb` is 0 when the lender has nothing to spare.
+// The reply to a loan_request; `ppb` is 0 when the lender has nothing to spare.
 struct loan_grant {
   workspace_id workspace;
   std::uint64_t number = 0;  // Of the request.
@@ -48,9 +48,9 @@
   double tokens = 0;
 };
 
-struct send_loan_ask {
+struct send_loan_request {
   entry_ref to;
-  loan_ask message;
+  loan_request message;
 };
 struct send_loan_grant {
   entry_ref to;
@@ -61,7 +61,7 @@
   loan_return message;
 };
 using loan_action =
-    std::variant<send_loan_ask, send_loan_grant, send_loan_return>;
+    std::variant<send_loan_request, send_loan_grant, send_loan_return>;
 using loan_actions = std::vector<loan_action>;
 
 struct loan_settings {
@@ -109,7 +109,7 @@
   // Called when a request finds no local token, or another entry requests a
   // token: borrows without waiting for the timer.
   loan_actions OnDemand(const workspace_id& workspace, monotonic_time now);
-  loan_actions OnLoanAsk(const entry_ref& from, const loan_ask& ask,
+  loan_actions OnLoanAsk(const entry_ref& from, const loan_request& ask,
                          monotonic_time now);
   void OnLoanGrant(const entry_ref& from, const loan_grant& grant,
                    monotonic_time now);
--- a/include/citron/protocol/membership.h
+++ b/include/citron/protocol/membership.h
@@ -63,7 +63,7 @@
   // Time until the next heartbeat, which lets the receiver detect a missed one.
   duration interval{};
   // Hash of the sender's view of the other zones; 0 if all-to-all.
-  std::uint64_t world_hash = 0;
+  std::uint64_t remote_zones_hash = 0;
 };
 
 // From a zone's relay to the other zones' relays.
@@ -160,8 +160,8 @@
   actions OnPlatformList(const std::vector<listed_vm>& list,
                          monotonic_time now);
   // Sets the VMs that operators drain and those that they have declared dead.
-  actions OnOperatorWords(const std::set<vm_id>& drained,
-                          const std::set<vm_id>& gone, monotonic_time now);
+  actions OnOperatorSettings(const std::set<vm_id>& drained,
+                             const std::set<vm_id>& gone, monotonic_time now);
   actions OnHeartbeat(const heartbeat& message, monotonic_time now);
   actions OnZoneDigest(const zone_digest& message, monotonic_time now);
   actions OnZonePull(const zone_pull& message) const;
--- a/include/citron/protocol/ownership.h
+++ b/include/citron/protocol/ownership.h
@@ -47,7 +47,7 @@
 };
 
 // Asks the receiver not to take over from the sender.
-struct promise_ask {
+struct promise_request {
   vm_id from;
   incarnation_number from_incarnation = 0;
   incarnation_number to_incarnation = 0;  // The process addressed.
@@ -57,14 +57,14 @@
 
 // The sender promises not to take over from the receiver until ttl, the clock
 // rate error and margin have passed since the request arrived. With
-// `predecessor_gone` it promises nothing: it is a later process of the VM, and
+// `predecessor_ended` it promises nothing: it is a later process of the VM, and
 // if `address` is that of the addressed process's row, that process has ended.
 struct promise {
   vm_id from;
   incarnation_number from_incarnation = 0;  // The process addressed.
   incarnation_number to_incarnation = 0;
   std::uint64_t number = 0;
-  bool predecessor_gone = false;
+  bool predecessor_ended = false;
   endpoint address;  // The sender's.
 };
 
@@ -86,9 +86,9 @@
   std::string json;
   std::uint64_t expected_revision = 0;  // 0: the key doesn't exist.
 };
-struct send_promise_ask {
+struct send_promise_request {
   vm_id to;
-  promise_ask message;
+  promise_request message;
 };
 struct send_promise {
   vm_id to;
@@ -113,7 +113,7 @@
  public:
   using action =
       std::variant<ownership_action::read_table, ownership_action::write_table,
-                   ownership_action::send_promise_ask,
+                   ownership_action::send_promise_request,
                    ownership_action::send_promise,
                    ownership_action::ownership_changed, ownership_action::left,
                    ownership_action::arm_timer>;
@@ -130,7 +130,7 @@
                       std::uint64_t revision, monotonic_time now);
   // The store call had no effect.
   actions OnStoreUnreachable(std::uint64_t call, monotonic_time now);
-  actions OnPromiseAsk(const promise_ask& message, monotonic_time now);
+  actions OnPromiseRequest(const promise_request& message, monotonic_time now);
   actions OnPromise(const promise& message, monotonic_time now);
   // Sets the upstreams of this zone.
   actions OnUpstreams(const std::set<upstream_id>& upstreams,
--- a/include/citron/protocol/rate_limiter.h
+++ b/include/citron/protocol/rate_limiter.h
@@ -32,23 +32,24 @@
   double burst = 0;
 };
 
-// The request waits for a token: a let_in or turn_away with this ticket
-// follows.
-struct token_awaited {
+// The request waits for a token: a admit_waiting or reject_waiting with this
+// ticket follows.
+struct wait_for_token {
   wait_ticket ticket{};
 };
-using limit_decision = std::variant<admitted, over_rate, token_awaited>;
+using limit_decision = std::variant<admitted, over_rate, wait_for_token>;
 
-struct let_in {
+struct admit_waiting {
   wait_ticket ticket{};
 };
-struct turn_away {
+struct reject_waiting {
   wait_ticket ticket{};
   monotonic_time retry_at{};
 };
 using limit_action =
-    std::variant<let_in, turn_away, send_loan_ask, send_loan_grant,
-                 send_loan_return, send_token_ask, send_token_grant>;
+    std::variant<admit_waiting, reject_waiting, send_loan_request,
+                 send_loan_grant, send_loan_return, send_token_request,
+                 send_token_grant>;
 using limit_actions = std::vector<limit_action>;
 
 // The limits of all workspaces at one event loop of an entry: its share of each
@@ -79,13 +80,13 @@
   // Called when the caller of a waiting request has gone.
   void OnCancel(const workspace_id& workspace, wait_ticket ticket);
 
-  limit_actions OnMessage(const entry_ref& from, const loan_ask& ask,
+  limit_actions OnMessage(const entry_ref& from, const loan_request& ask,
                           monotonic_time now);
   limit_actions OnMessage(const entry_ref& from, const loan_grant& grant,
                           monotonic_time now);
   limit_actions OnMessage(const entry_ref& from, const loan_return& returned,
                           monotonic_time now);
-  limit_actions OnMessage(const entry_ref& from, const token_ask& ask,
+  limit_actions OnMessage(const entry_ref& from, const token_request& ask,
                           monotonic_time now);
   limit_actions OnMessage(const entry_ref& from, const token_grant& grant,
                           monotonic_time now);
@@ -93,7 +94,7 @@
   // Called every loan_settings::tick.
   limit_actions OnTimer(monotonic_time now);
   // Called at NextTokenAt.
-  limit_actions OnTokenTime(monotonic_time now);
+  limit_actions OnNextTokenTime(monotonic_time now);
   // Returns when a waiting request may be admitted before the next timer.
   std::optional<monotonic_time> NextTokenAt(monotonic_time now) const {
     return waiting_.NextTokenAt(now);
--- a/include/citron/protocol/share_holder.h
+++ b/include/citron/protocol/share_holder.h
@@ -108,7 +108,8 @@
                             monotonic_time now);
   // Sets the VMs that an operator has declared dead; their shares are released
   // to the others.
-  share_actions OnGoneVms(const std::set<vm_id>& gone, monotonic_time now);
+  share_actions OnVmsDeclaredDead(const std::set<vm_id>& gone,
+                                  monotonic_time now);
   // All entry processes of this VM have applied the grant with this sequence or
   // a later one. A floor is lowered in the table only `loan_settle_time` after
   // this; a leased part also after it has expired.
--- a/include/citron/protocol/token_home.h
+++ b/include/citron/protocol/token_home.h
@@ -19,7 +19,7 @@
 
 // Requests one token from the workspace's home. Numbers grow with each request
 // of an entry; a message with an old number has no effect.
-struct token_ask {
+struct token_request {
   workspace_id workspace;
   std::uint64_t number = 0;
 };
@@ -32,9 +32,9 @@
   double burst = 0;           // Of the contract by which it was granted.
 };
 
-struct send_token_ask {
+struct send_token_request {
   entry_ref to;
-  token_ask message;
+  token_request message;
 };
 struct send_token_grant {
   entry_ref to;
@@ -48,7 +48,7 @@
 // The result for a request without a local token: admitted, waiting for the
 // reply of the home, rejected, or not served by another entry as the home.
 using token_search_result =
-    std::variant<admitted, send_token_ask, over_rate, no_remote_home>;
+    std::variant<admitted, send_token_request, over_rate, no_remote_home>;
 
 // The reply has no effect: it is repeated, too late, never requested, from
 // another sender, for a workspace without a contract, or granted by a larger
@@ -106,7 +106,7 @@
   // Called at the home. `limits` is the loop's admission; `may_borrow` is
   // whether loans may soon bring more tokens.
   token_grants OnTokenAsk(admission& limits, const entry_ref& from,
-                          const token_ask& ask, bool may_borrow,
+                          const token_request& ask, bool may_borrow,
                           monotonic_time now);
   // Called when loans have come, and at intervals.
   token_grants AnswerHeldRequests(admission& limits, monotonic_time now);
--- a/include/citron/protocol/vm_registration.h
+++ b/include/citron/protocol/vm_registration.h
@@ -28,11 +28,11 @@
   std::optional<call> Next(monotonic_time now);
   monotonic_time NextAt() const { return next_call_at_; }
 
-  void OnGranted(const lease_id& lease, monotonic_time now);
+  void OnLeaseGranted(const lease_id& lease, monotonic_time now);
   void OnRecordWritten(monotonic_time now);
-  void OnRenewed(monotonic_time now);
+  void OnLeaseRenewed(monotonic_time now);
   // The lease has expired, and the store has removed the record with it.
-  void OnLapsed(monotonic_time now);
+  void OnLeaseExpired(monotonic_time now);
   // The call failed or its outcome is unknown.
   void OnFailed(monotonic_time now);
 
--- a/include/citron/protocol/workspace_quota.h
+++ b/include/citron/protocol/workspace_quota.h
@@ -73,7 +73,7 @@
   void SetFleetSize(int vms) { fleet_size_ = vms; }
   // Sets the maximum age of the other VMs' reports. The quota keeps room free
   // for the requests that may arrive within that time.
-  void SetViewLag(duration lag) { view_lag_ = lag; }
+  void SetMaxReportAge(duration lag) { view_lag_ = lag; }
   // Sets the time without a report after which a VM counts as silent: it may be
   // cut off from this VM.
   void SetSilenceLimit(duration limit) { silence_limit_ = limit; }
@@ -81,13 +81,13 @@
                 monotonic_time now);
   void OnContactUpdate(const vm_id& vm, const quota_contact& contact);
   // The VM is listed: it no longer expires.
-  void KeepVm(const vm_id& vm);
+  void OnVmListed(const vm_id& vm);
   // Another VM still receives reports of a VM that is no longer listed: extends
   // the time until that VM counts as gone.
-  void OnHeardElsewhere(const vm_id& vm, monotonic_time now);
+  void OnReportReceivedElsewhere(const vm_id& vm, monotonic_time now);
   // The VM is no longer listed. It keeps its share until it counts as gone;
   // then its requests leave the count over one window.
-  void RemoveVm(const vm_id& vm, monotonic_time now);
+  void OnVmUnlisted(const vm_id& vm, monotonic_time now);
 
   // Decides whether to admit a request; counts its arrival in either case.
   bool TryAdmit(monotonic_time now);
@@ -114,7 +114,7 @@
     double admitted_before_reset = 0;
     monotonic_time reset_at{};
     // For a VM that is no longer listed: when it counts as gone. Each report
-    // and OnHeardElsewhere extend the time.
+    // and OnReportReceivedElsewhere extend the time.
     std::optional<monotonic_time> gone_after;
   };
   // Inputs to the shares of the VMs that are not silent.
--- a/include/citron/wire/messages.h
+++ b/include/citron/wire/messages.h
@@ -279,7 +279,7 @@
 }
 inline auto WireFields(heartbeat& m) {
   return std::tie(m.member, m.sequence, m.revision, m.config_age, m.interval,
-                  m.world_hash);
+                  m.remote_zones_hash);
 }
 inline auto WireFields(zone_digest& m) {
   return std::tie(m.zone, m.relay, m.control, m.incarnation, m.sequence, m.hash,
@@ -294,7 +294,7 @@
 inline auto WireFields(entry_ref& m) {
   return std::tie(m.vm, m.loop, m.incarnation);
 }
-inline auto WireFields(loan_ask& m) {
+inline auto WireFields(loan_request& m) {
   return std::tie(m.workspace, m.number, m.ppb, m.tokens, m.duration_ms);
 }
 inline auto WireFields(loan_grant& m) {
@@ -303,7 +303,9 @@
 inline auto WireFields(loan_return& m) {
   return std::tie(m.workspace, m.number, m.kept_ppb, m.tokens);
 }
-inline auto WireFields(token_ask& m) { return std::tie(m.workspace, m.number); }
+inline auto WireFields(token_request& m) {
+  return std::tie(m.workspace, m.number);
+}
 inline auto WireFields(token_grant& m) {
   return std::tie(m.workspace, m.number, m.granted, m.retry_ms, m.burst);
 }
@@ -311,12 +313,12 @@
 auto WireFields(loan_message<T>& m) {
   return std::tie(m.from, m.to, m.message);
 }
-inline auto WireFields(promise_ask& m) {
+inline auto WireFields(promise_request& m) {
   return std::tie(m.from, m.from_incarnation, m.to_incarnation, m.number);
 }
 inline auto WireFields(promise& m) {
   return std::tie(m.from, m.from_incarnation, m.to_incarnation, m.number,
-                  m.predecessor_gone);
+                  m.predecessor_ended);
 }
 inline auto WireFields(poison_message& m) {
   return std::tie(m.fingerprint, m.lifetime);
--- a/src/control/control_task.cc
+++ b/src/control/control_task.cc
@@ -254,9 +254,9 @@
 }
 
 void control_task::OnConfigChanged(const fleet_config& config) {
-  Perform(membership_->OnOperatorWords(config.drained_vms, config.gone_vms,
-                                       MonotonicNow()));
-  shares_->OnGoneVms(config.gone_vms);
+  Perform(membership_->OnOperatorSettings(config.drained_vms, config.gone_vms,
+                                          MonotonicNow()));
+  shares_->OnVmsDeclaredDead(config.gone_vms);
   PushView();
   // Others pull at once instead of at the next round.
   const monotonic_time now = MonotonicNow();
--- a/src/control/share_feed.cc
+++ b/src/control/share_feed.cc
@@ -50,8 +50,8 @@
   holder_.OnMembership(live);
 }
 
-void share_feed::OnGoneVms(const std::set<vm_id>& gone) {
-  Perform(holder_.OnGoneVms(gone, MonotonicNow()));
+void share_feed::OnVmsDeclaredDead(const std::set<vm_id>& gone) {
+  Perform(holder_.OnVmsDeclaredDead(gone, MonotonicNow()));
 }
 
 void share_feed::OnGrantApplied(std::uint64_t sequence) {
--- a/src/dispatch/dispatch_task.cc
+++ b/src/dispatch/dispatch_task.cc
@@ -164,7 +164,8 @@
   if (busy) {
     give_back_deadline_ = std::max(give_back_deadline_, now + kGiveBackLimit);
   }
-  const bool owns = !owner_->AssignedUpstreams().empty() && now < give_back_deadline_;
+  const bool owns =
+      !owner_->AssignedUpstreams().empty() && now < give_back_deadline_;
   if ((busy || owns) && !late) return;
   if (late && busy) {
     Log(kLogPart, "leaving at the drain limit with {} requests unfinished",
@@ -183,8 +184,8 @@
       return control_link::Decode<store_answer_message>(
           message, [&](const auto& m) { owner_->OnStoreAnswer(m); });
     case message_type::kPromiseAsk:
-      return control_link::Decode<promise_ask>(
-          message, [&](const auto& m) { owner_->OnPromiseAsk(m); });
+      return control_link::Decode<promise_request>(
+          message, [&](const auto& m) { owner_->OnPromiseRequest(m); });
     case message_type::kPromise:
       return control_link::Decode<promise>(
           message, [&](const auto& m) { owner_->OnPromise(m); });
@@ -600,7 +601,8 @@
   }
   stats_.Set(
       "citron_dispatch_ownership_seconds_left", {},
-      ToSeconds(std::min(owner_->SendDeadline(), now + FromSeconds(1e6)) - now));
+      ToSeconds(std::min(owner_->SendDeadline(), now + FromSeconds(1e6)) -
+                now));
   stats_.Set("citron_config_revision", {},
              static_cast<double>(link_->Config().revision));
   exchange.Reply(
--- a/src/dispatch/owner_driver.cc
+++ b/src/dispatch/owner_driver.cc
@@ -106,8 +106,8 @@
   return false;
 }
 
-void owner_driver::OnPromiseAsk(const promise_ask& message) {
-  Perform(ownership_.OnPromiseAsk(message, MonotonicNow()));
+void owner_driver::OnPromiseRequest(const promise_request& message) {
+  Perform(ownership_.OnPromiseRequest(message, MonotonicNow()));
 }
 
 void owner_driver::OnPromise(const promise& message) {
@@ -136,7 +136,7 @@
   SendCall(action.via, std::move(message));
 }
 
-void owner_driver::Do(const ownership_action::send_promise_ask& action) {
+void owner_driver::Do(const ownership_action::send_promise_request& action) {
   const endpoint to = PeerOf(action.to);
   if (to.IsEmpty()) return;
   link_.Send(to, message_type::kPromiseAsk, action.message);
--- a/src/entry/entry_task.cc
+++ b/src/entry/entry_task.cc
@@ -101,7 +101,7 @@
       quality_(kQualityWindow),
       tick_(loop, [this] { OnTick(); }),
       token_timer_(loop, [this] {
-        PerformLimits(limiter_->OnTokenTime(MonotonicNow()));
+        PerformLimits(limiter_->OnNextTokenTime(MonotonicNow()));
       }) {}
 
 entry_task::~entry_task() = default;
@@ -291,14 +291,14 @@
       return control_link::Decode<share_update>(
           message, [&](const auto& m) { OnShare(m); });
     case message_type::kLoanAsk:
-      return OnLimitMessage<loan_ask>(message);
+      return OnLimitMessage<loan_request>(message);
     case message_type::kLoanGrant:
       return OnLimitMessage<loan_grant>(message);
     case message_type::kLoanReturn:
       return OnLimitMessage<loan_return>(message);
     case message_type::kTokenAsk:
       stats_.Count("citron_token_asks_total", {{"side", "home"}});
-      return OnLimitMessage<token_ask>(message);
+      return OnLimitMessage<token_request>(message);
     case message_type::kTokenGrant:
       return OnLimitMessage<token_grant>(message);
     case message_type::kPermitGrant:
@@ -348,13 +348,13 @@
   }
 }
 
-void entry_task::Do(const let_in& action) {
+void entry_task::Do(const admit_waiting& action) {
   if (call* c = TakeWaiting(action.ticket)) Run(*c);
 }
-void entry_task::Do(const turn_away& action) {
+void entry_task::Do(const reject_waiting& action) {
   if (call* c = TakeWaiting(action.ticket)) RefuseOverRate(*c, action.retry_at);
 }
-void entry_task::Do(const send_loan_ask& ask) {
+void entry_task::Do(const send_loan_request& ask) {
   SendToEntry(ask.to, message_type::kLoanAsk, ask.message);
 }
 void entry_task::Do(const send_loan_grant& grant) {
@@ -363,7 +363,7 @@
 void entry_task::Do(const send_loan_return& returned) {
   SendToEntry(returned.to, message_type::kLoanReturn, returned.message);
 }
-void entry_task::Do(const send_token_ask& ask) {
+void entry_task::Do(const send_token_request& ask) {
   stats_.Count("citron_token_asks_total", {{"side", "asker"}});
   SendToEntry(ask.to, message_type::kTokenAsk, ask.message);
 }
@@ -375,7 +375,7 @@
   const monotonic_time now = MonotonicNow();
   tick_.Arm(now + loan_settings{}.tick);
   PerformLimits(limiter_->OnTimer(now));
-  for (const permit_want& want : placement_->TakeWants()) {
+  for (const permit_demand& want : placement_->TakePermitDemand()) {
     const auto peer = directory_.PermitPeer(want.region, want.service);
     if (!peer) continue;
     permit_ask ask{
@@ -581,7 +581,7 @@
   limit_actions actions;
   const limit_decision decision =
       limiter_->OnRequest(c.workspace, c.deadline, MonotonicNow(), actions);
-  if (const auto* awaited = std::get_if<token_awaited>(&decision)) {
+  if (const auto* awaited = std::get_if<wait_for_token>(&decision)) {
     c.ticket = awaited->ticket;
     waiting_calls_[awaited->ticket] = &c;
   }
@@ -743,7 +743,7 @@
 void entry_task::Place(call& c) {
   const monotonic_time now = MonotonicNow();
   c.expected_bytes = ExpectedBytes(c);
-  const place_result placed = placement_->Choose(
+  const placement_result placed = placement_->Choose(
       {c.service, c.request_class, c.deadline, c.expected_bytes, c.tried_zones},
       now);
   if (const auto* no = std::get_if<refusal>(&placed)) {
@@ -756,9 +756,9 @@
                   no->retry_at});
     return End(c, verdict::kNotRun, kServiceUnavailable);
   }
-  const place_choice& choice = std::get<place_choice>(placed);
+  const placement_decision& choice = std::get<placement_decision>(placed);
   std::string others;
-  for (const passed_over& other : choice.skipped_zones) {
+  for (const skipped_zone& other : choice.skipped_zones) {
     fmt::format_to(std::back_inserter(others), "; not {}: {}", other.zone.Str(),
                    other.reason);
   }
@@ -834,8 +834,8 @@
     directory_.OnDone(c.dispatch);
     placement_->OnDone(c.service, c.zone, now);
     if (c.region != settings_.common.region) {
-      placement_->OnCrossed(c.region, c.expected_bytes, c.Relay().BodyBytes(),
-                            now);
+      placement_->OnRemoteResponse(c.region, c.expected_bytes,
+                                   c.Relay().BodyBytes(), now);
     }
     double& typical = answer_bytes_[{c.service, c.request_class}];
     const auto bytes = static_cast<double>(c.Relay().BodyBytes());
--- a/src/node/feed_relay.cc
+++ b/src/node/feed_relay.cc
@@ -25,7 +25,7 @@
     : context_(context), index_(index), secret_(std::move(secret)) {}
 
 bool feed_relay::IsCurrent(monotonic_time now) const {
-  return context_.feed.IsProvenSince(kOldestProof, now);
+  return context_.feed.IsProvenWithin(kOldestProof, now);
 }
 
 void feed_relay::OnQuestion(http_exchange& exchange) {
@@ -54,7 +54,7 @@
   const auto is_due = [&](const waiting_question& waiting) {
     const duration wait = std::min(waiting.question.wait, kLongestHold);
     return !current || now >= waiting.asked_at + wait ||
-           index_.HasNewsAfter(waiting.question.after);
+           index_.HasChangesAfter(waiting.question.after);
   };
   // An answer may bring the next question before this returns.
   const auto first_due =
@@ -78,7 +78,7 @@
   answer.held = now - waiting.asked_at;
   answer.proof_age = now - *context_.feed.ProvenAt();
   answer.lapsed_left =
-      std::max(duration::zero(), context_.feed.LapsedUntil() - now);
+      std::max(duration::zero(), context_.feed.ExpiryGraceUntil() - now);
   auto changes = index_.ChangesAfter(waiting.question.after);
   answer.history_gone = !changes.has_value();
   if (changes) answer.changes = std::move(*changes);
--- a/src/node/fleet_state.cc
+++ b/src/node/fleet_state.cc
@@ -69,7 +69,7 @@
   missing_.erase(key);
   const store_key read = codec_.ReadKey(key);
   if (read.kind != store_key_kind::kUpstream) return;
-  upstream_standing* upstream = FindUpstream(upstream_id(read.name));
+  upstream_tracker* upstream = FindUpstream(upstream_id(read.name));
   if (upstream != nullptr) upstream->OnRecord(upstream->Record(), now);
 }
 
@@ -120,7 +120,7 @@
       vms_.erase(vm_id(key.name));
       ++vms_version_;
       for (auto& [workspace, quota] : quotas_) {
-        quota.RemoveVm(vm_id(key.name), now);
+        quota.OnVmUnlisted(vm_id(key.name), now);
       }
       log_.Write("fleet", "vm_gone", {{"vm", key.name}}, now);
       fleet_changed_ = true;
@@ -131,9 +131,9 @@
       SetClosedZones();
       const zone_id zone(key.name);
       for (auto& [service, selector] : selectors_) {
-        selector.ForEach([&](upstream_standing& upstream) {
+        selector.ForEach([&](upstream_tracker& upstream) {
           if (upstream.Record().zone == zone) {
-            upstream.OnCold(kReopenedColdSpell, now);
+            upstream.MarkCold(kReopenedColdSpell, now);
           }
         });
       }
@@ -207,13 +207,13 @@
     RemoveUpstream(id);
   }
   affinity_selector& selector = MakeSelector(record.service);
-  const upstream_standing* before = selector.Find(id);
+  const upstream_tracker* before = selector.Find(id);
   const bool is_new = before == nullptr;
   const bool was_draining = !is_new && before->Record().draining;
   const bool says_new = is_new || before->Record() != record;
   selector.SetUpstream(record, region, now);
   service_of_[id] = record.service;
-  upstream_standing* upstream = selector.Find(id);
+  upstream_tracker* upstream = selector.Find(id);
   upstream->SetColdAllowance(AllowanceFor(*upstream));
   if (is_new || was_draining != record.draining) {
     log_.Write("fleet",
@@ -243,7 +243,7 @@
   }
   vms_[id] = std::move(ValueOf(read));
   ++vms_version_;
-  for (auto& [workspace, quota] : quotas_) quota.KeepVm(id);
+  for (auto& [workspace, quota] : quotas_) quota.OnVmListed(id);
   fleet_changed_ = true;
   return true;
 }
@@ -283,7 +283,7 @@
 
 void fleet_state::SetColdAllowances() {
   for (auto& [service, selector] : selectors_) {
-    selector.ForEach([this](upstream_standing& upstream) {
+    selector.ForEach([this](upstream_tracker& upstream) {
       upstream.SetColdAllowance(AllowanceFor(upstream));
     });
   }
@@ -293,7 +293,7 @@
 // once. Two VMs, the same for all who know the fleet, share what it bears while
 // it is cold.
 cold_allowance fleet_state::AllowanceFor(
-    const upstream_standing& upstream) const {
+    const upstream_tracker& upstream) const {
   const std::uint64_t hash = upstream.Hash();
   const auto cost = [&](const vm_id& vm, const zone_id& zone) {
     const bool near = zone == upstream.Record().zone;
@@ -333,14 +333,14 @@
   return found == selectors_.end() ? nullptr : &found->second;
 }
 
-upstream_standing* fleet_state::FindUpstream(const upstream_id& id) {
+upstream_tracker* fleet_state::FindUpstream(const upstream_id& id) {
   const auto service = service_of_.find(id);
   if (service == service_of_.end()) return nullptr;
   affinity_selector* selector = SelectorOf(service->second);
   return selector == nullptr ? nullptr : selector->Find(id);
 }
 
-void fleet_state::OnUpstreamLoad(upstream_standing& upstream,
+void fleet_state::OnUpstreamLoad(upstream_tracker& upstream,
                                  const load_report& report,
                                  monotonic_time now) {
   upstream.OnReport(report, now);
--- a/src/node/node_pages.cc
+++ b/src/node/node_pages.cc
@@ -78,10 +78,11 @@
   std::vector<vm_candidate> candidates;
   for (const auto& [vm, listing] : context_.fleet.Vms()) {
     const bool own = vm == context_.settings.vm;
-    candidates.push_back({vm, listing.zone, listing.region, listing.callers,
-                          own ? condition_().ready : peers_.IsReady(vm),
-                          own || peers_.IsHeard(vm, now), listing.link_mbps,
-                          own ? condition_().strained : peers_.IsStrained(vm)});
+    candidates.push_back(
+        {vm, listing.zone, listing.region, listing.callers,
+         own ? condition_().ready : peers_.IsReady(vm),
+         own || peers_.IsHeard(vm, now), listing.link_mbps,
+         own ? condition_().near_capacity : peers_.IsNearCapacity(vm)});
   }
   nlohmann::json addresses = nlohmann::json::array();
   for (const vm_candidate& vm : ChooseVms(candidates, zone, region)) {
--- a/src/node/node_task.cc
+++ b/src/node/node_task.cc
@@ -180,7 +180,7 @@
 }
 
 vm_condition node_task::Condition() const {
-  return {IsReady(), gauge_.IsStrained()};
+  return {IsReady(), gauge_.IsNearCapacity()};
 }
 
 void node_task::OnTick() {
--- a/src/node/peer_exchange.cc
+++ b/src/node/peer_exchange.cc
@@ -122,11 +122,11 @@
   report.sequence = ++sequence_;
   report.told_at = now.time_since_epoch().count();
   report.ready = own.ready;
-  report.strained = own.strained;
+  report.near_capacity = own.near_capacity;
   const duration view_lag = IntervalFor(ServingPeers()) + kWayAndTick;
   const duration silence_limit = SilenceLimit();
   for (auto& [workspace, quota] : context_.fleet.Quotas()) {
-    quota.SetViewLag(view_lag);
+    quota.SetMaxReportAge(view_lag);
     quota.SetSilenceLimit(silence_limit);
     const quota_report told = quota.Report(now);
     const quota_line line{workspace, RoundedUp(10 * told.demand_per_s),
@@ -257,7 +257,7 @@
   peer = {report.incarnation,
           report.sequence,
           report.ready,
-          report.strained,
+          report.near_capacity,
           serves,
           report.told_at,
           now,
@@ -275,13 +275,13 @@
                    line == told.end() ? quota_report{} : line->second, now);
     quota.OnContactUpdate(report.vm, contact);
     for (const vm_id& vm : report.heard_unlisted) {
-      quota.OnHeardElsewhere(vm, now);
+      quota.OnReportReceivedElsewhere(vm, now);
     }
   }
   for (const load_line& line : report.loads) {
-    upstream_standing* upstream = context_.fleet.FindUpstream(line.upstream);
+    upstream_tracker* upstream = context_.fleet.FindUpstream(line.upstream);
     if (upstream == nullptr) continue;
-    upstream->OnHeardLoad(static_cast<int>(line.requests), now);
+    upstream->OnPeerLoadReport(static_cast<int>(line.requests), now);
   }
 }
 
@@ -299,9 +299,9 @@
   return peer == peers_.end() || peer->second.ready;
 }
 
-bool peer_exchange::IsStrained(const vm_id& vm) const {
+bool peer_exchange::IsNearCapacity(const vm_id& vm) const {
   const auto peer = peers_.find(vm);
-  return peer != peers_.end() && peer->second.strained;
+  return peer != peers_.end() && peer->second.near_capacity;
 }
 
 }  // namespace citron
--- a/src/node/proxied_request.cc
+++ b/src/node/proxied_request.cc
@@ -156,9 +156,9 @@
   request.object = object_;
   request.large_answer = admitted_.route->repeats == repetition::kDownload;
   request.latency_goal = admitted_.route->latency_goal;
-  request.route_homes = &admitted_.route->homes;
+  request.route_allowed_regions = &admitted_.route->homes;
   if (admitted_.workspace != nullptr) {
-    request.workspace_homes = &admitted_.workspace->homes;
+    request.workspace_allowed_regions = &admitted_.workspace->homes;
   }
   std::vector<upstream_id> left_out = tried_;
   if (suspect) context_.crashes.AddUpstreamsWithSuspects(left_out);
@@ -201,7 +201,7 @@
 
 void proxied_request::SendTo(const selection& choice) {
   const monotonic_time now = MonotonicNow();
-  upstream_standing* standing =
+  upstream_tracker* standing =
       context_.fleet.SelectorOf(service_)->Find(choice.upstream);
   upstream_ = choice.upstream;
   sent_at_ = now;
@@ -278,7 +278,7 @@
 
 void proxied_request::ReportLoad(const http1_head& head) {
   affinity_selector* selector = context_.fleet.SelectorOf(service_);
-  upstream_standing* standing =
+  upstream_tracker* standing =
       selector == nullptr ? nullptr : selector->Find(upstream_);
   if (standing == nullptr) return;
   const auto text = FindHeader(head.headers, context_.names.load);
@@ -417,7 +417,7 @@
   attempt_open_ = false;
   const monotonic_time now = MonotonicNow();
   affinity_selector* selector = context_.fleet.SelectorOf(service_);
-  upstream_standing* standing =
+  upstream_tracker* standing =
       selector == nullptr ? nullptr : selector->Find(upstream_);
   if (standing != nullptr) standing->OnDone(outcome, now);
   if (sent_as_suspect_) context_.crashes.OnSuspectDone(fingerprint_, upstream_);
--- a/src/node/request_gate.cc
+++ b/src/node/request_gate.cc
@@ -53,7 +53,7 @@
                      monotonic_time now) {
   const fleet_bounds& bounds = context.settings.bounds;
   if (!bounds.strict_revocation) return context.feed.HasCopy();
-  return context.feed.IsProvenSince(
+  return context.feed.IsProvenWithin(
       FromSeconds(revocation_part * ToSeconds(bounds.revocation)), now);
 }
 
--- a/src/node/store_sync.cc
+++ b/src/node/store_sync.cc
@@ -52,10 +52,10 @@
   for (const auto& [vm, listing] : context_.fleet.Vms()) {
     members.push_back(member(listing));
   }
-  sources_.SetPlan(PlanFeed(member(OwnListing()), members));
+  sources_.SetPlan(PlanFeedSources(member(OwnListing()), members));
   const int vms = context_.fleet.FleetSize();
   const bool reads_for_others = sources_.ReadsStore() && vms > 1;
-  context_.feed.SetShared(reads_for_others);
+  context_.feed.SetServesOthers(reads_for_others);
   // Only few read for others. One that has lost its sources may be one of many.
   context_.feed.SetFleetSize(reads_for_others ? 1 : vms);
 }
@@ -81,7 +81,8 @@
 }
 
 void store_sync::AskRelay(const vm_listing& relay,
-                          const fleet_feed::feed_call& order, monotonic_time now) {
+                          const fleet_feed::feed_call& order,
+                          monotonic_time now) {
   const monotonic_time deadline = now + order.wait + kRelayLimit;
   relays_.Ask(relay, order.after, order.wait, deadline,
               [this, vm = relay.vm](const result<feed_answer>& answer) {
@@ -122,7 +123,7 @@
 }
 
 void store_sync::Apply(const key_change& change, monotonic_time now) {
-  const monotonic_time lapsed_until = context_.feed.LapsedUntil();
+  const monotonic_time lapsed_until = context_.feed.ExpiryGraceUntil();
   switch (change.what) {
     case key_change::kind::kWritten:
       context_.fleet.ApplyEvent({change.item, false}, lapsed_until, now);
@@ -143,9 +144,9 @@
     return NoteTouch(false, ErrorOf(range).message, now);
   }
   context_.feed.OnRange(ValueOf(range).revision, now);
-  context_.fleet.ApplyRange(ValueOf(range).items, context_.feed.LapsedUntil(),
-                            now);
-  index_.OnCopy(ValueOf(range).items, ValueOf(range).revision);
+  context_.fleet.ApplyRange(ValueOf(range).items,
+                            context_.feed.ExpiryGraceUntil(), now);
+  index_.OnFullCopy(ValueOf(range).items, ValueOf(range).revision);
   NoteTouch(true, "", now);
   Run(now);
 }
@@ -164,7 +165,7 @@
     return Run(now);
   }
   context_.feed.OnEvents(got.revision, !got.events.empty(), now);
-  const monotonic_time lapsed_until = context_.feed.LapsedUntil();
+  const monotonic_time lapsed_until = context_.feed.ExpiryGraceUntil();
   for (const store_event& event : got.events) {
     const store_item& item = event.item;
     const bool is_new = context_.fleet.ApplyEvent(event, lapsed_until, now);
@@ -205,7 +206,7 @@
                           if (!IsOk(lease)) {
                             return OnLost("grant", ErrorOf(lease), then);
                           }
-                          registration_.OnGranted(ValueOf(lease), then);
+                          registration_.OnLeaseGranted(ValueOf(lease), then);
                           if (!leaving_) RunRegistration(then);
                         });
       return;
@@ -223,7 +224,7 @@
                         [this](const status& renewed) {
                           const monotonic_time then = MonotonicNow();
                           if (IsOk(renewed)) {
-                            return registration_.OnRenewed(then);
+                            return registration_.OnLeaseRenewed(then);
                           }
                           OnLost("renew", ErrorOf(renewed), then);
                         });
@@ -250,7 +251,7 @@
   context_.log.Write("store", "listing_call_failed",
                      {{"call", call}, {"problem", problem.message}}, now);
   if (problem.code == error_code::kNotFound) {
-    registration_.OnLapsed(now);
+    registration_.OnLeaseExpired(now);
   } else {
     registration_.OnFailed(now);
   }
--- a/src/policy/admission_wait.cc
+++ b/src/policy/admission_wait.cc
@@ -24,7 +24,7 @@
                              const token_prospects& prospects,
                              monotonic_time now, monotonic_time deadline) {
   const monotonic_time wait_ends_at = WaitEnd(prospects, now, deadline);
-  const std::optional<monotonic_time>& token_at = prospects.own_token_at;
+  const std::optional<monotonic_time>& token_at = prospects.local_token_at;
   const bool gets_local_token = token_at && *token_at < wait_ends_at;
   if (wait_ends_at <= now) return false;
   if (!gets_local_token && !prospects.may_borrow) return false;
--- a/src/policy/affinity_selector.cc
+++ b/src/policy/affinity_selector.cc
@@ -13,15 +13,16 @@
 }
 
 // Returns the requests per slot at `upstream`.
-double LoadPerSlot(const upstream_standing& upstream, monotonic_time now) {
+double LoadPerSlot(const upstream_tracker& upstream, monotonic_time now) {
   return static_cast<double>(upstream.Load(now)) /
          std::max(1, upstream.Record().slots);
 }
 
 bool WasTried(const selection_request& request, const upstream_id& id) {
   if (request.excluded_upstreams == nullptr) return false;
-  return std::find(request.excluded_upstreams->begin(), request.excluded_upstreams->end(), id) !=
-         request.excluded_upstreams->end();
+  return std::find(request.excluded_upstreams->begin(),
+                   request.excluded_upstreams->end(),
+                   id) != request.excluded_upstreams->end();
 }
 
 }  // namespace
@@ -49,20 +50,20 @@
   const auto found = upstreams_.find(record.id);
   if (found != upstreams_.end()) return found->second.OnRecord(record, now);
   upstreams_.emplace(record.id,
-                     upstream_standing(record, region, now, options_.weights));
+                     upstream_tracker(record, region, now, options_.weights));
 }
 
 void affinity_selector::RemoveUpstream(const upstream_id& id) {
   upstreams_.erase(id);
 }
 
-upstream_standing* affinity_selector::Find(const upstream_id& id) {
+upstream_tracker* affinity_selector::Find(const upstream_id& id) {
   const auto found = upstreams_.find(id);
   return found == upstreams_.end() ? nullptr : &found->second;
 }
 
 void affinity_selector::ForEach(
-    const std::function<void(upstream_standing&)>& visit) {
+    const std::function<void(upstream_tracker&)>& visit) {
   for (auto& [id, upstream] : upstreams_) visit(upstream);
 }
 
@@ -84,13 +85,13 @@
   }
 }
 
-bool affinity_selector::IsAllowed(const upstream_standing& upstream,
+bool affinity_selector::IsAllowed(const upstream_tracker& upstream,
                                   const selection_request& request) const {
-  return AllowsRegion(request.route_homes, upstream.Region()) &&
-         AllowsRegion(request.workspace_homes, upstream.Region());
+  return AllowsRegion(request.route_allowed_regions, upstream.Region()) &&
+         AllowsRegion(request.workspace_allowed_regions, upstream.Region());
 }
 
-bool affinity_selector::IsAvailable(const upstream_standing& upstream,
+bool affinity_selector::IsAvailable(const upstream_tracker& upstream,
                                     const selection_request& request,
                                     bool include_ejected,
                                     monotonic_time now) const {
@@ -105,7 +106,7 @@
   return path == paths_.end() || now >= path->second.backoff_until;
 }
 
-double affinity_selector::PlacementWeight(const upstream_standing& upstream,
+double affinity_selector::PlacementWeight(const upstream_tracker& upstream,
                                           bool large_answer) const {
   double weight = std::max(1, upstream.Record().slots) * upstream.LoadWeight();
   if (upstream.Region() != options_.region) return weight;
@@ -136,7 +137,7 @@
 // Returns a nearly idle replica for an object whose preferred upstream is full.
 // A busy replica would serve the object cold, in the time of several warm
 // requests.
-const upstream_standing* affinity_selector::FindSpareReplica(
+const upstream_tracker* affinity_selector::FindSpareReplica(
     const std::vector<candidate>& replicas, monotonic_time now) const {
   for (std::size_t i = 1; i < replicas.size(); ++i) {
     if (LoadPerSlot(*replicas[i].upstream, now) < options_.spare_replica_load) {
@@ -186,7 +187,7 @@
   if (!allowed) return selection_error::kNotAllowed;
   if (candidates.empty()) return selection_error::kUnavailable;
   KeepPreferredReplicas(candidates);
-  const upstream_standing* upstream = candidates[0].upstream;
+  const upstream_tracker* upstream = candidates[0].upstream;
   if (LoadPerSlot(*upstream, now) >= LoadLimit(request)) {
     upstream = FindSpareReplica(candidates, now);
     if (upstream == nullptr) return selection_error::kBusy;
--- a/src/policy/fair_queue.cc
+++ b/src/policy/fair_queue.cc
@@ -112,7 +112,7 @@
   if (schedule_.empty()) Reset();
 }
 
-std::optional<queued_request> fair_queue::Surplus() const {
+std::optional<queued_request> fair_queue::RejectionCandidate() const {
   const workspace_queue* largest = nullptr;
   double largest_cost = -1;
   for (const schedule_position& position : schedule_) {
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -111,8 +111,8 @@
   permits_[{service, region}] = {count, expires_at};
 }
 
-std::vector<permit_want> placement::TakeWants() {
-  std::vector<permit_want> wants;
+std::vector<permit_demand> placement::TakePermitDemand() {
+  std::vector<permit_demand> wants;
   for (const auto& [key, count] : wants_) {
     wants.push_back({key.first, key.second, count});
   }
@@ -151,8 +151,9 @@
   if (zone == options_.zone) overflow_[service].OnRefused();
 }
 
-void placement::OnCrossed(const region_id& region, std::uint64_t expected_bytes,
-                          std::uint64_t used_bytes, monotonic_time now) {
+void placement::OnRemoteResponse(const region_id& region,
+                                 std::uint64_t expected_bytes,
+                                 std::uint64_t used_bytes, monotonic_time now) {
   Link(region).Settle(expected_bytes, used_bytes, now);
 }
 
@@ -191,7 +192,7 @@
 }
 
 std::string placement::IneligibleReason(const zone_state& z,
-                                        const place_request& request,
+                                        const placement_request& request,
                                         monotonic_time now) const {
   if (Contains(request.excluded, z.report.zone)) return "already tried";
   if (z.report.leaving) return "leaving";
@@ -213,7 +214,7 @@
 }
 
 bool placement::LocalZoneServes(const service_zones& zones,
-                                const place_request& request) const {
+                                const placement_request& request) const {
   const auto local = zones.find(options_.zone);
   if (local == zones.end() || Contains(request.excluded, local->first)) {
     return false;
@@ -224,8 +225,8 @@
 }
 
 std::optional<placement::candidate> placement::ChooseInRegion(
-    const service_zones& zones, const place_request& request,
-    monotonic_time now, place_choice& choice) {
+    const service_zones& zones, const placement_request& request,
+    monotonic_time now, placement_decision& choice) {
   candidates eligible;
   for (const auto& [id, z] : zones) {
     if (!IsLocalRegion(z) || id == options_.zone) continue;
@@ -243,8 +244,8 @@
 }
 
 std::optional<placement::candidate> placement::ChooseInRemoteRegion(
-    const service_zones& zones, const place_request& request,
-    const region_id& only, monotonic_time now, place_choice& choice,
+    const service_zones& zones, const placement_request& request,
+    const region_id& only, monotonic_time now, placement_decision& choice,
     std::optional<refusal>& earliest_refusal) {
   candidates remote;
   for (const auto& [id, z] : zones) {
@@ -279,7 +280,8 @@
 
 // Consumes a permit and link bytes, or returns why this is not possible.
 std::optional<refusal> placement::ReserveCrossRegion(
-    const place_request& request, const region_id& region, monotonic_time now) {
+    const placement_request& request, const region_id& region,
+    monotonic_time now) {
   const service_region key(request.service, region);
   ++wants_[key];
   const auto found = permits_.find(key);
@@ -318,7 +320,7 @@
 // not serve. Reports lag, so this ignores free slots, report age and the
 // deadline. A request that was already tried elsewhere is not sent on again.
 std::optional<placement::candidate> placement::ChooseWithoutFreeSlots(
-    const service_zones& zones, const place_request& request,
+    const service_zones& zones, const placement_request& request,
     monotonic_time now) {
   if (!request.excluded.empty()) return std::nullopt;
   candidates region;
@@ -331,20 +333,20 @@
   return ChooseOfTwo(region);
 }
 
-place_result placement::Choose(const place_request& request,
-                               monotonic_time now) {
+placement_result placement::Choose(const placement_request& request,
+                                   monotonic_time now) {
   const auto found = zones_.find(request.service);
   if (found == zones_.end()) {
     return refusal{refusal_reason::kUnknownService, RetryAt(now)};
   }
   const service_zones& zones = found->second;
-  place_choice choice;
+  placement_decision choice;
   std::optional<refusal> earliest_refusal;
   const auto choose = [&](const candidate& c, const char* reason) {
     choice.zone = c.zone;
     choice.region = c.region;
     choice.reason = reason;
-    return place_result(std::move(choice));
+    return placement_result(std::move(choice));
   };
   const bool drained = drained_.contains(options_.region);
   const bool shifted = ShouldShift(request.service);
--- a/src/policy/poison_registry.cc
+++ b/src/policy/poison_registry.cc
@@ -63,8 +63,8 @@
       [&](const upstream_crash& known) { return IsSameCrash(known, crash); });
 }
 
-poison_registry::standing poison_registry::StandingOf(std::uint64_t fingerprint,
-                                              monotonic_time now) const {
+poison_registry::standing poison_registry::StandingOf(
+    std::uint64_t fingerprint, monotonic_time now) const {
   const auto found = records_.find(fingerprint);
   if (found == records_.end() || found->second.until <= now) {
     return standing::kClear;
@@ -126,15 +126,16 @@
   return StandingOf(fingerprint, now);
 }
 
-void poison_registry::OnUnprovenCrash(std::uint64_t fingerprint,
-                                      monotonic_time now) {
+void poison_registry::ExtendLifetime(std::uint64_t fingerprint,
+                                     monotonic_time now) {
   const auto found = records_.find(fingerprint);
   if (found == records_.end()) return;
   found->second.until = std::max(found->second.until, now + lifetime_);
 }
 
 void poison_registry::OnUpstreamAlive(const upstream_id& upstream,
-                              monotonic_time sent_at, monotonic_time now) {
+                                      monotonic_time sent_at,
+                                      monotonic_time now) {
   for (auto next = records_.begin(); next != records_.end();) {
     const auto at = next++;
     record& r = at->second;
@@ -158,7 +159,7 @@
 }
 
 void poison_registry::OnConvicted(std::uint64_t fingerprint,
-                               monotonic_time until) {
+                                  monotonic_time until) {
   record& r = records_[fingerprint];
   r.convicted = true;
   r.until = std::max(r.until, until);
@@ -182,7 +183,7 @@
   return !in_flight_.contains(fingerprint);
 }
 
-bool poison_registry::HoldsSuspect(const upstream_id& upstream) const {
+bool poison_registry::HasSuspectInFlight(const upstream_id& upstream) const {
   return upstream_suspects_.contains(upstream);
 }
 
--- a/src/policy/service_scheduler.cc
+++ b/src/policy/service_scheduler.cc
@@ -134,7 +134,7 @@
 // most queued relative to its weight.
 void service_scheduler::EnforceQueueLimit(monotonic_time now, actions& out) {
   if (queue_.Size() + held_.size() <= options_.max_queued) return;
-  const std::optional<queued_request> surplus = queue_.Surplus();
+  const std::optional<queued_request> surplus = queue_.RejectionCandidate();
   if (!surplus) return;
   RefuseWaiting(surplus->id, refusal_reason::kQueueFull,
                 RetryAt(ExpectedWait(*surplus, now), now), out);
@@ -279,13 +279,14 @@
   using standing = poison_registry::standing;
   const std::uint64_t fingerprint = e.request.fingerprint;
   const bool is_evidence = IsCrashEvidence(e, now);
-  if (!is_evidence) poison_.OnUnprovenCrash(fingerprint, now);
+  if (!is_evidence) poison_.ExtendLifetime(fingerprint, now);
   const standing after =
       is_evidence
           ? poison_.OnCrash(fingerprint, e.last_upstream, e.sent_at, now)
           : standing::kSuspect;
   if (after == standing::kPoison) {
-    out.emplace_back(poison_action{fingerprint, poison_.ExpiresAt(fingerprint)});
+    out.emplace_back(
+        poison_action{fingerprint, poison_.ExpiresAt(fingerprint)});
     RefusePoisoned(fingerprint, now, out);
     return false;
   }
@@ -404,12 +405,12 @@
 std::optional<upstream_id> service_scheduler::ChooseWithConstraints(
     const entry& e, monotonic_time now) {
   const std::uint64_t fingerprint = e.request.fingerprint;
-  const bool suspect =
-      poison_.StandingOf(fingerprint, now) == poison_registry::standing::kSuspect;
+  const bool suspect = poison_.StandingOf(fingerprint, now) ==
+                       poison_registry::standing::kSuspect;
   if (suspect && !poison_.MaySendSuspect(fingerprint)) return std::nullopt;
   return chooser_.Choose(now, random_, [&](const upstream_id& id) {
     if (id == e.last_upstream) return false;
-    return !suspect || !poison_.HoldsSuspect(id);
+    return !suspect || !poison_.HasSuspectInFlight(id);
   });
 }
 
--- a/src/policy/upstream_standing.cc
+++ b/src/policy/upstream_tracker.cc
@@ -1,4 +1,4 @@
-#include "citron/policy/upstream_standing.h"
+#include "citron/policy/upstream_tracker.h"
 
 #include <algorithm>
 
@@ -22,19 +22,18 @@
 // requests or are shared by many VMs. Each VM judges an upstream by the
 // outcomes of its own requests and by reported loads.
 
-upstream_standing::upstream_standing(const upstream_record& record,
-                                     const region_id& region,
-                                     monotonic_time now,
-                                     const weight_control_options& weights)
+upstream_tracker::upstream_tracker(const upstream_record& record,
+                                   const region_id& region, monotonic_time now,
+                                   const weight_control_options& weights)
     : record_(record),
       region_(region),
       hash_(HashBytes(record.id.Str())),
       weight_(weights) {
-  OnCold(record.cold_left, now);
+  MarkCold(record.cold_left, now);
 }
 
-void upstream_standing::OnRecord(const upstream_record& record,
-                                 monotonic_time now) {
+void upstream_tracker::OnRecord(const upstream_record& record,
+                                monotonic_time now) {
   const bool restarted =
       record.born_ms != record_.born_ms || record.address != record_.address;
   record_ = record;
@@ -49,14 +48,14 @@
     other_callers_load_ = 0;
     weight_.Reset();
   }
-  OnCold(record.cold_left, now);
+  MarkCold(record.cold_left, now);
 }
 
-void upstream_standing::SetColdAllowance(const cold_allowance& allowance) {
+void upstream_tracker::SetColdAllowance(const cold_allowance& allowance) {
   allowance_ = allowance;
 }
 
-void upstream_standing::OnCold(duration left, monotonic_time now) {
+void upstream_tracker::MarkCold(duration left, monotonic_time now) {
   if (left <= duration::zero()) return;
   if (!IsCold(now)) {
     cold_tokens_ = allowance_.burst;
@@ -65,38 +64,37 @@
   cold_until_ = std::max(cold_until_, now + left);
 }
 
-void upstream_standing::OnSent(monotonic_time now) {
+void upstream_tracker::OnSent(monotonic_time now) {
   ++in_flight_;
   if (!IsCold(now)) return;
   cold_tokens_ = ColdTokens(now) - 1;
   cold_tokens_at_ = now;
 }
 
-void upstream_standing::OnReport(const load_report& report,
-                                 monotonic_time now) {
+void upstream_tracker::OnReport(const load_report& report, monotonic_time now) {
   // The report excludes the request that it arrives with, so the local count
   // excludes it as well; OnDone has not run for it yet.
   UpdateLoad(report.running + report.waiting, in_flight_ - 1, report.slots,
              now);
 }
 
-void upstream_standing::OnHeardLoad(int requests, monotonic_time now) {
+void upstream_tracker::OnPeerLoadReport(int requests, monotonic_time now) {
   UpdateLoad(requests, in_flight_, record_.slots, now);
 }
 
-void upstream_standing::UpdateLoad(int requests, int local_in_flight, int slots,
-                                   monotonic_time now) {
+void upstream_tracker::UpdateLoad(int requests, int local_in_flight, int slots,
+                                  monotonic_time now) {
   other_callers_load_ = std::max(0, requests - local_in_flight);
   reported_at_ = now;
   weight_.OnLoadReport(static_cast<double>(requests) / std::max(1, slots), now);
 }
 
-int upstream_standing::Load(monotonic_time now) const {
+int upstream_tracker::Load(monotonic_time now) const {
   const bool report_valid = now - reported_at_ < options_.report_lifetime;
   return in_flight_ + (report_valid ? other_callers_load_ : 0);
 }
 
-void upstream_standing::OnDone(upstream_outcome outcome, monotonic_time now) {
+void upstream_tracker::OnDone(upstream_outcome outcome, monotonic_time now) {
   --in_flight_;
   if (outcome == upstream_outcome::kCancelled) return;
   const bool failed = !IsSuccess(outcome);
@@ -133,7 +131,7 @@
   }
 }
 
-void upstream_standing::OnConnectFailure(monotonic_time now) {
+void upstream_tracker::OnConnectFailure(monotonic_time now) {
   may_have_restarted_ = true;
   restart_ruled_out_at_ = monotonic_time::max();
   const int doublings = std::min(connect_failures_, 6);
@@ -142,19 +140,19 @@
                                   options_.max_backoff);
 }
 
-bool upstream_standing::IsCold(monotonic_time now) const {
+bool upstream_tracker::IsCold(monotonic_time now) const {
   const bool restart_possible =
       may_have_restarted_ && now < restart_ruled_out_at_;
   return restart_possible || now < cold_until_;
 }
 
-double upstream_standing::ColdTokens(monotonic_time now) const {
+double upstream_tracker::ColdTokens(monotonic_time now) const {
   const double accrued =
       allowance_.rate_per_s * ToSeconds(now - cold_tokens_at_);
   return std::min(allowance_.burst, cold_tokens_ + accrued);
 }
 
-bool upstream_standing::CanTakeColdRequest(monotonic_time now) const {
+bool upstream_tracker::CanTakeColdRequest(monotonic_time now) const {
   return ColdTokens(now) >= 1;
 }
 
--- a/src/policy/vm_choice.cc
+++ b/src/policy/vm_choice.cc
@@ -27,8 +27,9 @@
                [widest](const vm_candidate& vm) {
                  return vm.link_mbps >= kMinWideLinkFraction * widest;
                });
-  const bool any_near_capacity = std::any_of(
-      wide.begin(), wide.end(), [](const auto& vm) { return vm.strained; });
+  const bool any_near_capacity =
+      std::any_of(wide.begin(), wide.end(),
+                  [](const auto& vm) { return vm.near_capacity; });
   return any_near_capacity || wide.size() < kMinWideVms ? std::move(vms) : wide;
 }
 
--- a/src/protocol/change_index.cc
+++ b/src/protocol/change_index.cc
@@ -23,8 +23,8 @@
 change_index::change_index(std::size_t max_removed)
     : max_removed_(max_removed) {}
 
-void change_index::OnCopy(const std::vector<store_item>& items,
-                          store_revision revision) {
+void change_index::OnFullCopy(const std::vector<store_item>& items,
+                              store_revision revision) {
   if (!has_copy_) known_from_ = revision;
   has_copy_ = true;
   std::set<std::string_view> present;
@@ -93,7 +93,7 @@
   revision_ = std::max(revision_, revision);
 }
 
-bool change_index::HasNewsAfter(store_revision revision) const {
+bool change_index::HasChangesAfter(store_revision revision) const {
   return revision < known_from_ || revision < changed_at_;
 }
 
--- a/src/protocol/feed_sources.cc
+++ b/src/protocol/feed_sources.cc
@@ -41,8 +41,8 @@
 
 }  // namespace
 
-std::vector<vm_id> PlanFeed(const feed_member& self,
-                            const std::vector<feed_member>& all) {
+std::vector<vm_id> PlanFeedSources(const feed_member& self,
+                                   const std::vector<feed_member>& all) {
   std::vector<vm_id> plan;
   const auto add = [&plan](const std::vector<feed_member>& members) {
     for (const feed_member& m : members) {
--- a/src/protocol/fleet_feed.cc
+++ b/src/protocol/fleet_feed.cc
@@ -14,7 +14,7 @@
 }
 
 std::optional<fleet_feed::feed_call> fleet_feed::NextCall(monotonic_time now,
-                                                  bool may_relay) {
+                                                          bool may_relay) {
   if (in_flight_ || now < next_at_) return std::nullopt;
   in_flight_ = true;
   sent_at_ = now;
@@ -92,7 +92,7 @@
   next_at_ = now + options_.retry_interval;
 }
 
-bool fleet_feed::IsProvenSince(duration age, monotonic_time now) const {
+bool fleet_feed::IsProvenWithin(duration age, monotonic_time now) const {
   return proven_at_.has_value() && now - *proven_at_ < age;
 }
 
--- a/src/protocol/loan_book.cc
+++ b/src/protocol/loan_book.cc
@@ -155,8 +155,8 @@
   return actions;
 }
 
-loan_actions loan_book::OnLoanAsk(const entry_ref& from, const loan_ask& ask,
-                                  monotonic_time now) {
+loan_actions loan_book::OnLoanAsk(const entry_ref& from,
+                                  const loan_request& ask, monotonic_time now) {
   loan_actions actions;
   workspace_limit* limit = limits_.Find(ask.workspace);
   if (limit == nullptr || released_ || from == self_) return actions;
@@ -601,9 +601,9 @@
   loan.requested_tokens = tokens;
   loan.requested_ppb = std::min(loan.ppb + more_ppb, kWholePpb);
   actions.emplace_back(
-      send_loan_ask{lender,
-                    {workspace, loan.request_number, loan.requested_ppb, tokens,
-                     ToWholeMs(settings_.loan)}});
+      send_loan_request{lender,
+                        {workspace, loan.request_number, loan.requested_ppb,
+                         tokens, ToWholeMs(settings_.loan)}});
 }
 
 }  // namespace citron
--- a/src/protocol/membership.cc
+++ b/src/protocol/membership.cc
@@ -72,9 +72,9 @@
   return out;
 }
 
-membership::actions membership::OnOperatorWords(const std::set<vm_id>& drained,
-                                                const std::set<vm_id>& gone,
-                                                monotonic_time now) {
+membership::actions membership::OnOperatorSettings(
+    const std::set<vm_id>& drained, const std::set<vm_id>& gone,
+    monotonic_time now) {
   actions out;
   drained_ = drained;
   dead_vms_ = gone;
@@ -104,8 +104,8 @@
       peer_revision{from.vm, message.revision, message.config_age});
   const bool is_local_relay =
       IsLocalZone(from.zone) && !IsRelay() && RelayOf(from.zone) == from.vm;
-  if (!is_local_relay || message.world_hash == 0) return out;
-  if (message.world_hash == RemoteZonesHash()) {
+  if (!is_local_relay || message.remote_zones_hash == 0) return out;
+  if (message.remote_zones_hash == RemoteZonesHash()) {
     remote_hash_mismatches_ = 0;
   } else if (++remote_hash_mismatches_ >= kMismatchesBeforePull) {
     remote_hash_mismatches_ = 0;
@@ -441,7 +441,7 @@
   message.revision = revision_;
   message.config_age = config_age_;
   message.interval = Interval();
-  if (!AllToAll()) message.world_hash = RemoteZonesHash();
+  if (!AllToAll()) message.remote_zones_hash = RemoteZonesHash();
   for (const auto& [vm, r] : members_) {
     if (r.emitted_state == member_state::kGone) continue;
     if (!AllToAll() && !IsLocalZone(r.info.zone)) continue;
--- a/src/protocol/ownership.cc
+++ b/src/protocol/ownership.cc
@@ -39,7 +39,7 @@
 using ownership_action::ownership_changed;
 using ownership_action::read_table;
 using ownership_action::send_promise;
-using ownership_action::send_promise_ask;
+using ownership_action::send_promise_request;
 using ownership_action::write_table;
 
 // Promise requests are half a renew interval apart. With the default options,
@@ -171,8 +171,8 @@
   return out;
 }
 
-ownership::actions ownership::OnPromiseAsk(const promise_ask& message,
-                                           monotonic_time now) {
+ownership::actions ownership::OnPromiseRequest(const promise_request& message,
+                                               monotonic_time now) {
   promise answer;
   answer.from = options_.vm;
   answer.from_incarnation = message.to_incarnation;
@@ -185,7 +185,7 @@
     // row: a frozen process keeps its port, and a leaving one closes its port
     // last, so the earlier process has then ended.
     if (message.to_incarnation > options_.incarnation) return {};
-    answer.predecessor_gone = true;
+    answer.predecessor_ended = true;
     return {send_promise{message.from, answer}};
   }
   if (!has_table_ || left_) return {};
@@ -219,7 +219,7 @@
   if (message.to_incarnation != options_.incarnation) return out;
   const auto bound = bounds_.find({message.from, message.from_incarnation});
   if (bound == bounds_.end()) return out;
-  if (!message.predecessor_gone) {
+  if (!message.predecessor_ended) {
     bound->second = std::max(bound->second, request->second + options_.ttl);
     EmitChangeAndTimer(now, out);
     return out;
@@ -275,7 +275,7 @@
 }
 
 ownership::actions ownership::OnDeclaredDead(const std::set<vm_id>& gone,
-                                     monotonic_time now) {
+                                             monotonic_time now) {
   actions out;
   if (gone == dead_vms_) return out;
   dead_vms_ = gone;
@@ -672,13 +672,13 @@
   requests_[++last_request_] = now;
   if (requests_.size() > kMaxOpenRequests) requests_.erase(requests_.begin());
   for (const auto& [member, bound] : bounds_) {
-    promise_ask message;
+    promise_request message;
     message.from = options_.vm;
     message.from_incarnation = options_.incarnation;
     message.to_incarnation = member.second;
     message.joined = table_.members.at(options_.vm).joined;
     message.number = last_request_;
-    out.emplace_back(send_promise_ask{member.first, message});
+    out.emplace_back(send_promise_request{member.first, message});
   }
 }
 
--- a/src/protocol/rate_limiter.cc
+++ b/src/protocol/rate_limiter.cc
@@ -100,13 +100,14 @@
     token_search_result search = homes_.FindToken(workspace, now);
     if (std::holds_alternative<admitted>(search)) return admitted{};
     if (const auto* over = std::get_if<over_rate>(&search)) return *over;
-    if (auto* ask = std::get_if<send_token_ask>(&search)) {
+    if (auto* ask = std::get_if<send_token_request>(&search)) {
       prospects.may_borrow = true;
       actions.emplace_back(std::move(*ask));
     }
   }
   token_bucket& bucket = limits_.Find(workspace)->bucket;
-  prospects.own_token_at = bucket.NextTokenAt(now, waiting_.CountWaiting(workspace));
+  prospects.local_token_at =
+      bucket.NextTokenAt(now, waiting_.CountWaiting(workspace));
   prospects.contract_rate_per_s = bucket.ContractRate();
   if (now < share_starts_at_) {
     prospects.share_begins_at = share_starts_at_;
@@ -120,7 +121,7 @@
     return over_rate{retry_at};
   }
   ++last_ticket_;
-  return token_awaited{ticket};
+  return wait_for_token{ticket};
 }
 
 void rate_limiter::OnCancel(const workspace_id& workspace, wait_ticket ticket) {
@@ -128,7 +129,8 @@
 }
 
 limit_actions rate_limiter::OnMessage(const entry_ref& from,
-                                      const loan_ask& ask, monotonic_time now) {
+                                      const loan_request& ask,
+                                      monotonic_time now) {
   limit_actions actions;
   Append(loans_.OnLoanAsk(from, ask, now), actions);
   return actions;
@@ -151,7 +153,7 @@
 }
 
 limit_actions rate_limiter::OnMessage(const entry_ref& from,
-                                      const token_ask& ask,
+                                      const token_request& ask,
                                       monotonic_time now) {
   limit_actions actions;
   Append(
@@ -172,7 +174,7 @@
   const auto* over = std::get_if<over_rate>(&result);
   if (over == nullptr) return actions;
   const auto oldest = waiting_.TakeOldest(grant.workspace);
-  if (oldest) actions.emplace_back(turn_away{*oldest, over->retry_at});
+  if (oldest) actions.emplace_back(reject_waiting{*oldest, over->retry_at});
   return actions;
 }
 
@@ -181,12 +183,12 @@
   if (options_.has_loans) Append(loans_.OnTimer(now), actions);
   AdmitAllWaiting(now, actions);
   for (const wait_ticket ticket : waiting_.TakeExpired(now)) {
-    actions.emplace_back(turn_away{ticket, now + kRetryAfterWait});
+    actions.emplace_back(reject_waiting{ticket, now + kRetryAfterWait});
   }
   return actions;
 }
 
-limit_actions rate_limiter::OnTokenTime(monotonic_time now) {
+limit_actions rate_limiter::OnNextTokenTime(monotonic_time now) {
   limit_actions actions;
   AdmitAllWaiting(now, actions);
   return actions;
@@ -217,7 +219,7 @@
   const auto take_token = [&] { return TakeToken(workspace, now); };
   for (const wait_ticket ticket :
        waiting_.TakeAdmitted(workspace, take_token)) {
-    actions.emplace_back(let_in{ticket});
+    actions.emplace_back(admit_waiting{ticket});
   }
 }
 
--- a/src/protocol/share_holder.cc
+++ b/src/protocol/share_holder.cc
@@ -132,8 +132,8 @@
   return actions;
 }
 
-share_actions share_holder::OnGoneVms(const std::set<vm_id>& gone,
-                                      monotonic_time now) {
+share_actions share_holder::OnVmsDeclaredDead(const std::set<vm_id>& gone,
+                                              monotonic_time now) {
   share_actions actions;
   const bool was_declared_dead = declared_dead_.contains(vm_);
   std::erase_if(declared_dead_,
--- a/src/protocol/token_home.cc
+++ b/src/protocol/token_home.cc
@@ -134,7 +134,7 @@
   }
   const std::uint64_t number = next_number_++;
   asked.sent[number] = {*home, now + settings_.token_lifetime};
-  return send_token_ask{*home, {workspace, number}};
+  return send_token_request{*home, {workspace, number}};
 }
 
 // A token counts once, and only until the home may assume that it is no longer
@@ -217,7 +217,7 @@
 // repeated request gets no second reply, which would spend a token that the
 // requester drops.
 token_grants token_home::OnTokenAsk(admission& limits, const entry_ref& from,
-                                    const token_ask& ask, bool may_borrow,
+                                    const token_request& ask, bool may_borrow,
                                     monotonic_time now) {
   token_grants grants;
   DropOldRecords(now);
--- a/src/protocol/vm_registration.cc
+++ b/src/protocol/vm_registration.cc
@@ -22,7 +22,8 @@
   next_call_at_ = at;
 }
 
-void vm_registration::OnGranted(const lease_id& lease, monotonic_time now) {
+void vm_registration::OnLeaseGranted(const lease_id& lease,
+                                     monotonic_time now) {
   lease_ = lease;
   record_written_ = false;
   ScheduleNext(now);
@@ -33,11 +34,11 @@
   ScheduleNext(now + options_.renew_interval);
 }
 
-void vm_registration::OnRenewed(monotonic_time now) {
+void vm_registration::OnLeaseRenewed(monotonic_time now) {
   ScheduleNext(now + options_.renew_interval);
 }
 
-void vm_registration::OnLapsed(monotonic_time now) {
+void vm_registration::OnLeaseExpired(monotonic_time now) {
   lease_.reset();
   record_written_ = false;
   ScheduleNext(now);
--- a/src/protocol/workspace_quota.cc
+++ b/src/protocol/workspace_quota.cc
@@ -47,7 +47,7 @@
       demand_at_(now) {}
 
 void workspace_quota::SetContract(double rate_per_s, double burst,
-                               monotonic_time now) {
+                                  monotonic_time now) {
   Refill(now);
   const bool first = rate_per_s_ == 0;
   rate_per_s_ = rate_per_s;
@@ -75,22 +75,24 @@
     other.gone_after = now + options_.expired_admission_time;
 }
 
-void workspace_quota::OnContactUpdate(const vm_id& vm, const quota_contact& contact) {
+void workspace_quota::OnContactUpdate(const vm_id& vm,
+                                      const quota_contact& contact) {
   others_[vm].contact = contact;
 }
 
-void workspace_quota::KeepVm(const vm_id& vm) {
+void workspace_quota::OnVmListed(const vm_id& vm) {
   const auto found = others_.find(vm);
   if (found != others_.end()) found->second.gone_after.reset();
 }
 
-void workspace_quota::OnHeardElsewhere(const vm_id& vm, monotonic_time now) {
+void workspace_quota::OnReportReceivedElsewhere(const vm_id& vm,
+                                                monotonic_time now) {
   const auto found = others_.find(vm);
   if (found == others_.end() || !found->second.gone_after) return;
   found->second.gone_after = now + options_.expired_admission_time;
 }
 
-void workspace_quota::RemoveVm(const vm_id& vm, monotonic_time now) {
+void workspace_quota::OnVmUnlisted(const vm_id& vm, monotonic_time now) {
   const auto found = others_.find(vm);
   if (found == others_.end()) return;
   found->second.gone_after = now + options_.expired_admission_time;
--- a/tests/policy/affinity_selector_test.cc
+++ b/tests/policy/affinity_selector_test.cc
@@ -157,7 +157,7 @@
 BOOST_AUTO_TEST_CASE(AllowedRegionsHoldWhenTheirUpstreamsAreBusy) {
   const std::set<region_id> homes{region_id("r1")};
   selection_request request = RequestForObject(1);
-  request.workspace_homes = &homes;
+  request.workspace_allowed_regions = &homes;
   for (int i = 0; i < 300; ++i) {
     request.object = HashBytes(std::to_string(i));
     const std::string chosen = ChosenUpstream(request);
@@ -166,7 +166,7 @@
     Fill(chosen, 1);
   }
   const std::set<region_id> nowhere{region_id("r9")};
-  request.route_homes = &nowhere;
+  request.route_allowed_regions = &nowhere;
   BOOST_TEST(ChosenUpstream(request) == "not_allowed");
 }
 
@@ -221,7 +221,7 @@
 // few others.
 BOOST_AUTO_TEST_CASE(EjectionsAreIgnoredWhenMostUpstreamsAreEjected) {
   for (int i = 0; i < 8; ++i) {
-    upstream_standing* upstream =
+    upstream_tracker* upstream =
         selector_.Find(upstream_id(fmt::format("u{}", i)));
     for (int k = 0; k < 10; ++k) {
       upstream->OnSent(now_);
--- a/tests/policy/fair_queue_test.cc
+++ b/tests/policy/fair_queue_test.cc
@@ -95,8 +95,8 @@
   queue.Push(Request("small", "small", 900));
   queue.Push(Request("x", "large", 100));
   queue.Push(Request("y", "large", 200));
-  BOOST_TEST(queue.Surplus()->id.Str() == "y");
-  queue.Remove(*queue.Surplus());
+  BOOST_TEST(queue.RejectionCandidate()->id.Str() == "y");
+  queue.Remove(*queue.RejectionCandidate());
   BOOST_TEST(queue.Size() == 2u);
   BOOST_TEST((queue.TotalCost() == milliseconds(80)));
 }
--- a/tests/policy/placement_test.cc
+++ b/tests/policy/placement_test.cc
@@ -39,7 +39,7 @@
   void OverloadLocalZone() {
     for (int i = 0; i < 20; ++i) Report("s1", kSantiago, 16, seconds(5));
   }
-  place_result Choose(std::uint64_t bytes = 4000) {
+  placement_result Choose(std::uint64_t bytes = 4000) {
     return place.Choose({.service = kService,
                          .request_class = "lookup",
                          .deadline = now + seconds(1),
@@ -48,11 +48,11 @@
   }
   // Returns the chosen zone or the name of the refusal.
   std::string ChosenZone(std::uint64_t bytes = 4000) {
-    const place_result result = Choose(bytes);
+    const placement_result result = Choose(bytes);
     if (const auto* r = std::get_if<refusal>(&result)) {
       return std::string(RefusalName(r->reason));
     }
-    return std::get<place_choice>(result).zone.Str();
+    return std::get<placement_decision>(result).zone.Str();
   }
   std::string Send() {
     const std::string zone = ChosenZone();
@@ -186,10 +186,10 @@
 BOOST_AUTO_TEST_CASE(RefusesUnknownServiceAndTriedZones) {
   BOOST_TEST(ChosenZone() == "unknown_service");
   Report("s1", kSantiago, 0);
-  const place_result result = place.Choose({.service = kService,
-                                            .deadline = now + seconds(1),
-                                            .excluded = {zone_id("s1")}},
-                                           now);
+  const placement_result result = place.Choose({.service = kService,
+                                                .deadline = now + seconds(1),
+                                                .excluded = {zone_id("s1")}},
+                                               now);
   BOOST_TEST_REQUIRE(std::holds_alternative<refusal>(result));
   BOOST_TEST((std::get<refusal>(result).retry_at > now));
 }
@@ -203,7 +203,7 @@
   Report("c1", kConcepcion, 2);
   Report("a1", kAntofagasta, 16, milliseconds(5));
   BOOST_TEST(ChosenZone() == "s1");
-  const auto wants = place.TakeWants();
+  const auto wants = place.TakePermitDemand();
   BOOST_TEST_REQUIRE(wants.size() == 1u);
   BOOST_TEST((wants[0].region == kConcepcion));
   place.OnPermits(kService, kConcepcion, 3, now + milliseconds(250));
--- a/tests/policy/poison_registry_test.cc
+++ b/tests/policy/poison_registry_test.cc
@@ -130,11 +130,11 @@
   registry.OnSuspectSent(7, kA);
   BOOST_TEST(!registry.MaySendSuspect(7));
   BOOST_TEST(registry.MaySendSuspect(8));
-  BOOST_TEST(registry.HoldsSuspect(kA));
-  BOOST_TEST(!registry.HoldsSuspect(kB));
+  BOOST_TEST(registry.HasSuspectInFlight(kA));
+  BOOST_TEST(!registry.HasSuspectInFlight(kB));
   registry.OnSuspectDone(7, kA);
   BOOST_TEST(registry.MaySendSuspect(7));
-  BOOST_TEST(!registry.HoldsSuspect(kA));
+  BOOST_TEST(!registry.HasSuspectInFlight(kA));
 }
 
 }  // namespace citron
--- a/tests/policy/processor_gauge_test.cc
+++ b/tests/policy/processor_gauge_test.cc
@@ -25,7 +25,7 @@
 
 BOOST_AUTO_TEST_CASE(AnIdleProcessIsNotNearCapacity) {
   Use(0.05, 10);
-  BOOST_TEST(!gauge_.IsStrained());
+  BOOST_TEST(!gauge_.IsNearCapacity());
 }
 
 // Guards against a late report when callers of other zones arrive too: the VM
@@ -33,7 +33,7 @@
 BOOST_AUTO_TEST_CASE(ManyCallersBringItNearCapacityWithinSeconds) {
   Use(0.05, 10);
   Use(0.19, 2);
-  BOOST_TEST(gauge_.IsStrained());
+  BOOST_TEST(gauge_.IsNearCapacity());
 }
 
 // Guards against oscillation: the load moves away and returns as soon as the VM
@@ -41,15 +41,15 @@
 BOOST_AUTO_TEST_CASE(NearCapacityEndsWellBelowWhereItBegins) {
   Use(0.19, 5);
   Use(0.1, 10);
-  BOOST_TEST(gauge_.IsStrained());
+  BOOST_TEST(gauge_.IsNearCapacity());
   Use(0.05, 10);
-  BOOST_TEST(!gauge_.IsStrained());
+  BOOST_TEST(!gauge_.IsNearCapacity());
 }
 
 BOOST_AUTO_TEST_CASE(AShortBurstOfWorkIsNotNearCapacity) {
   Use(0.2, 0.3);
   Use(0.02, 1);
-  BOOST_TEST(!gauge_.IsStrained());
+  BOOST_TEST(!gauge_.IsNearCapacity());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -59,7 +59,7 @@
   const monotonic_time now{std::chrono::hours(1)};
   gauge.OnSample({}, now);
   gauge.OnSample(std::chrono::seconds(1), now + std::chrono::seconds(1));
-  BOOST_TEST(!gauge.IsStrained());
+  BOOST_TEST(!gauge.IsNearCapacity());
 }
 
 }  // namespace
--- a/tests/policy/service_scheduler_test.cc
+++ b/tests/policy/service_scheduler_test.cc
@@ -54,7 +54,8 @@
   }
   double worst = 1e9;
   for (const auto& [id, fair] : FairShares(demands, capacity)) {
-    worst = std::min(worst, result.workspaces.at(id).answered_in_time / time_s / fair);
+    worst = std::min(worst,
+                     result.workspaces.at(id).answered_in_time / time_s / fair);
   }
   return worst;
 }
@@ -110,7 +111,7 @@
     load.burst_from = seconds(10);
     load.burst_to = seconds(30);
   }
-  const auto result = Simulate(YardDesk(), loads, seconds(45));
+  const auto result = Simulate(YardDeskUpstreams(), loads, seconds(45));
   CheckSlotsAndDeadlines(result);
   const double max_good = kCapacity * 20 + 0.4 * kCapacity * 25;
   BOOST_TEST(result.AnsweredInTime() > 0.95 * max_good);
@@ -128,7 +129,7 @@
     load.max_attempts = 10;
     load.ask_again = milliseconds(100);
   }
-  const auto result = Simulate(YardDesk(), loads, seconds(45));
+  const auto result = Simulate(YardDeskUpstreams(), loads, seconds(45));
   CheckSlotsAndDeadlines(result);
   BOOST_TEST(result.requests_to_owners > 1.5 * result.Offered());
   BOOST_TEST(result.sends < 1.1 * result.AnsweredInTime());
@@ -180,7 +181,8 @@
 BOOST_AUTO_TEST_CASE(Saturation) {
   for (const double load_factor : {1.5, 3.0}) {
     const auto loads = LookupLoads(load_factor * kCapacity, milliseconds(500));
-    const auto result = Simulate(YardDesk(), loads, seconds(40), seconds(5));
+    const auto result =
+        Simulate(YardDeskUpstreams(), loads, seconds(40), seconds(5));
     CheckSlotsAndDeadlines(result);
     BOOST_TEST(result.AnsweredInTime() > 0.95 * kCapacity * 35);
     BOOST_TEST(WorstFractionOfFairShare(result, loads, kCapacity, 35) > 0.8);
@@ -192,7 +194,8 @@
 BOOST_AUTO_TEST_CASE(OneWorkspaceOffersMoreThanItsShare) {
   auto loads = LookupLoads(0.9 * kCapacity, milliseconds(500));
   loads.back().rate_per_s *= 20;
-  const auto result = Simulate(YardDesk(), loads, seconds(40), seconds(5));
+  const auto result =
+      Simulate(YardDeskUpstreams(), loads, seconds(40), seconds(5));
   CheckSlotsAndDeadlines(result);
   BOOST_TEST(WorstFractionOfFairShare(result, loads, kCapacity, 35) > 0.8);
   for (std::size_t i = 0; i + 1 < loads.size(); ++i) {
@@ -206,7 +209,8 @@
 // slot, each look-up waits for the end of a report.
 BOOST_AUTO_TEST_CASE(LongReportsAmongShortLookups) {
   const auto lookups = LookupLoads(0.35 * kCapacity, seconds(1));
-  const auto alone = Simulate(YardDesk(), lookups, seconds(60), seconds(10));
+  const auto alone =
+      Simulate(YardDeskUpstreams(), lookups, seconds(60), seconds(10));
   auto loads = lookups;
   simulated_load reports;
   reports.workspace = workspace_id("office");
@@ -217,7 +221,8 @@
   reports.request_timeout = seconds(30);
   reports.rate_per_s = 4;
   loads.push_back(reports);
-  const auto mixed = Simulate(YardDesk(), loads, seconds(60), seconds(10));
+  const auto mixed =
+      Simulate(YardDeskUpstreams(), loads, seconds(60), seconds(10));
   CheckSlotsAndDeadlines(mixed);
   const double p99_alone = Percentile(alone.latency_ms.at("lookup"), 0.99);
   const double p99_mixed = Percentile(mixed.latency_ms.at("lookup"), 0.99);
@@ -231,7 +236,7 @@
 // One server of four takes ten times as long as the others. Look-ups sent there
 // are answered late, and its occupied slots delay the queue.
 BOOST_AUTO_TEST_CASE(OneSlowUpstream) {
-  auto upstreams = YardDesk();
+  auto upstreams = YardDeskUpstreams();
   upstreams[1].slowness = 10;
   const auto loads = LookupLoads(0.6 * kCapacity, milliseconds(600));
   const auto result = Simulate(upstreams, loads, seconds(40), seconds(5));
@@ -243,7 +248,7 @@
 // One server answers every request with an error at once. Its slots are always
 // free, so it would attract most requests, and most callers would get errors.
 BOOST_AUTO_TEST_CASE(OneUpstreamAnswersErrorsFast) {
-  auto upstreams = YardDesk();
+  auto upstreams = YardDeskUpstreams();
   upstreams[2].fails_fast = true;
   const auto loads = LookupLoads(0.6 * kCapacity, milliseconds(600));
   const auto result = Simulate(upstreams, loads, seconds(40));
@@ -253,7 +258,7 @@
 // One server reports itself as healthy and idle while it answers with errors. A
 // scheduler that relies on the report sends it every request.
 BOOST_AUTO_TEST_CASE(OneUpstreamReportsHealthyWhileItFails) {
-  auto upstreams = YardDesk();
+  auto upstreams = YardDeskUpstreams();
   upstreams[2].fails_fast = true;
   upstreams[2].says_idle = true;
   const auto loads = LookupLoads(0.6 * kCapacity, milliseconds(600));
@@ -264,7 +269,7 @@
 // One server's slots are filled by other callers, and the server reports itself
 // as idle. Requests sent there come back unrun and must not be lost.
 BOOST_AUTO_TEST_CASE(OneUpstreamReportsIdleWhileItIsFull) {
-  auto upstreams = YardDesk();
+  auto upstreams = YardDeskUpstreams();
   upstreams[0].foreign_work = 4;
   upstreams[0].says_idle = true;
   const auto loads = LookupLoads(0.6 * kCapacity, milliseconds(600));
@@ -285,9 +290,10 @@
     poison_request.idempotent = idempotent;
     poison_request.rate_per_s = 0.5;
     loads.push_back(poison_request);
-    const auto result = Simulate(YardDesk(), loads, seconds(40));
+    const auto result = Simulate(YardDeskUpstreams(), loads, seconds(40));
     BOOST_TEST(result.crashes == 2);
-    BOOST_TEST(result.workspaces.at(poison_request.workspace).answered_in_time == 0);
+    BOOST_TEST(
+        result.workspaces.at(poison_request.workspace).answered_in_time == 0);
     const int poison_refusals =
         result.workspaces.at(poison_request.workspace).callers_rejected;
     const auto poison = result.refusals.find(refusal_reason::kPoison);
--- a/tests/policy/upstream_standing_test.cc
+++ b/tests/policy/upstream_standing_test.cc
@@ -1,4 +1,4 @@
-#include "citron/policy/upstream_standing.h"
+#include "citron/policy/upstream_tracker.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -17,14 +17,14 @@
     record_.born_ms = 1000;
   }
 
-  upstream_standing MakeStanding() {
-    upstream_standing standing(record_, region_id("north"), now_);
+  upstream_tracker MakeStanding() {
+    upstream_tracker standing(record_, region_id("north"), now_);
     standing.SetColdAllowance({2, 1});
     return standing;
   }
 
   // Sends one request that ends with the given outcome.
-  void CompleteRequest(upstream_standing& upstream, upstream_outcome outcome) {
+  void CompleteRequest(upstream_tracker& upstream, upstream_outcome outcome) {
     upstream.OnSent(now_);
     upstream.OnDone(outcome, now_);
   }
@@ -36,7 +36,7 @@
 BOOST_FIXTURE_TEST_SUITE(standing, standing_fixture)
 
 BOOST_AUTO_TEST_CASE(LoadOfOtherVmsExpires) {
-  upstream_standing upstream = MakeStanding();
+  upstream_tracker upstream = MakeStanding();
   upstream.OnSent(now_);
   upstream.OnSent(now_);
   upstream.OnReport({3, 2, 4}, now_);
@@ -51,7 +51,7 @@
 // An upstream crashes. It must be avoided at once, longer with each failure,
 // and then take one request at a time.
 BOOST_AUTO_TEST_CASE(ConsecutiveConnectFailuresExtendTheBackoff) {
-  upstream_standing upstream = MakeStanding();
+  upstream_tracker upstream = MakeStanding();
   CompleteRequest(upstream, upstream_outcome::kConnectFailedNotRun);
   BOOST_TEST(upstream.IsInBackoff(now_ + milliseconds(399)));
   BOOST_TEST(!upstream.IsInBackoff(now_ + milliseconds(400)));
@@ -69,7 +69,7 @@
 // An upstream passes its health checks but fails half of its requests. The
 // outcomes must eject it, and it must be tried again later.
 BOOST_AUTO_TEST_CASE(ManyFailedAnswersEjectAnUpstream) {
-  upstream_standing upstream = MakeStanding();
+  upstream_tracker upstream = MakeStanding();
   for (int i = 0; i < 20; ++i) {
     CompleteRequest(upstream, i % 2 == 0 ? upstream_outcome::kServerError
                                          : upstream_outcome::kAnswered);
@@ -79,7 +79,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(FewFailedAnswersDoNotEjectAnUpstream) {
-  upstream_standing upstream = MakeStanding();
+  upstream_tracker upstream = MakeStanding();
   for (int i = 0; i < 100; ++i) {
     CompleteRequest(upstream, i % 10 == 0 ? upstream_outcome::kServerError
                                           : upstream_outcome::kAnswered);
@@ -89,7 +89,7 @@
 
 // A cancelled request says nothing about the upstream.
 BOOST_AUTO_TEST_CASE(CancelledRequestsAreNotFailures) {
-  upstream_standing upstream = MakeStanding();
+  upstream_tracker upstream = MakeStanding();
   for (int i = 0; i < 50; ++i)
     CompleteRequest(upstream, upstream_outcome::kCancelled);
   BOOST_TEST(upstream.FailureRate() == 0);
@@ -100,8 +100,8 @@
 // than its allowance.
 BOOST_AUTO_TEST_CASE(AColdUpstreamGetsNoMoreThanItsAllowance) {
   record_.cold_left = seconds(3);
-  upstream_standing upstream = MakeStanding();
-  upstream.OnCold(seconds(3), now_);
+  upstream_tracker upstream = MakeStanding();
+  upstream.MarkCold(seconds(3), now_);
   int sent = 0;
   for (int ms = 0; ms < 3000; ms += 10) {
     const monotonic_time at = now_ + milliseconds(ms);
@@ -121,7 +121,7 @@
 // restart. A VM that waited for a new entry would treat a healthy upstream as
 // cold forever.
 BOOST_AUTO_TEST_CASE(AConnectFailureMayMeanARestart) {
-  upstream_standing upstream = MakeStanding();
+  upstream_tracker upstream = MakeStanding();
   CompleteRequest(upstream, upstream_outcome::kConnectFailedNotRun);
   BOOST_TEST(upstream.IsCold(now_ + seconds(10)));
   now_ += seconds(5);
@@ -133,14 +133,14 @@
 // A healthy upstream loses answers. Treating it as cold would leave most of its
 // slots unused.
 BOOST_AUTO_TEST_CASE(ALostAnswerIsNotARestart) {
-  upstream_standing upstream = MakeStanding();
+  upstream_tracker upstream = MakeStanding();
   CompleteRequest(upstream, upstream_outcome::kConnectionLost);
   BOOST_TEST(!upstream.IsCold(now_));
   BOOST_TEST(!upstream.IsInBackoff(now_));
 }
 
 BOOST_AUTO_TEST_CASE(ARestartResetsFailures) {
-  upstream_standing upstream = MakeStanding();
+  upstream_tracker upstream = MakeStanding();
   for (int i = 0; i < 20; ++i) {
     CompleteRequest(upstream, upstream_outcome::kConnectFailedNotRun);
   }
--- a/tests/policy/vm_choice_test.cc
+++ b/tests/policy/vm_choice_test.cc
@@ -51,7 +51,7 @@
                         bool is_near_capacity = false) {
   vm_candidate vm = Vm(id, "z1", "r1");
   vm.link_mbps = link_mbps;
-  vm.strained = is_near_capacity;
+  vm.near_capacity = is_near_capacity;
   return vm;
 }
 
--- a/tests/policy/warm_simulation.h
+++ b/tests/policy/warm_simulation.h
@@ -212,19 +212,20 @@
     const load_report report{u.running, static_cast<int>(u.waiting.size()),
                              plan_.slots};
     ScheduleAt(now_ + NetworkDelay(vms_[r.vm], u), [this, &u, r, report] {
-      upstream_standing& standing = Find(u, r);
+      upstream_tracker& standing = Find(u, r);
       standing.OnReport(report, Now());
       standing.OnDone(upstream_outcome::kAnswered, Now());
       if (r.expected_free_slot) {
         const double observed_service_time_s =
             now_ - r.arrived - 2 * NetworkDelay(vms_[r.vm], u);
-        vms_[r.vm].selector->RecordServiceTime(FromSeconds(observed_service_time_s));
+        vms_[r.vm].selector->RecordServiceTime(
+            FromSeconds(observed_service_time_s));
       }
       const bool in_goal = now_ - r.arrived <= plan_.latency_goal_s;
       Count(r, in_goal ? result_.in_goal : result_.late);
     });
   }
-  upstream_standing& Find(const upstream& u, const request& r) {
+  upstream_tracker& Find(const upstream& u, const request& r) {
     return *vms_[r.vm].selector->Find(u.record.id);
   }
   void Count(const request& r, int& counter) const {
--- a/tests/policy/zone_simulation.h
+++ b/tests/policy/zone_simulation.h
@@ -77,9 +77,10 @@
   double burst_factor = 1;  // Multiplies the rate during the burst.
   duration burst_from{};
   duration burst_to{};
-  int max_attempts = 1;          // Most attempts of a caller whose request is rejected.
+  int max_attempts = 1;  // Most attempts of a caller whose request is rejected.
   duration ask_again{};  // Pause between attempts; 0: until the refusal's time.
-  bool crashes_upstream = false;  // Identical requests; each crashes its upstream.
+  bool crashes_upstream =
+      false;  // Identical requests; each crashes its upstream.
 };
 
 struct simulated_upstream {
@@ -92,10 +93,10 @@
 };
 
 struct workspace_result {
-  int offered = 0;  // Callers.
-  int answered_in_time = 0;     // Answered in time.
+  int offered = 0;           // Callers.
+  int answered_in_time = 0;  // Answered in time.
   int callers_rejected = 0;  // Callers that gave up after a rejection.
-  int callers_failed = 0;     // Callers with a request timed out, failed or lost.
+  int callers_failed = 0;  // Callers with a request timed out, failed or lost.
   std::vector<double> latency_ms;
 };
 
@@ -104,7 +105,8 @@
   std::map<std::string, std::vector<double>> latency_ms;  // By class.
   std::map<refusal_reason, int> refusals;
   std::map<upstream_id, int> good_by_upstream;
-  int requests_to_owners = 0;  // Requests to the owners, including repeated attempts.
+  int requests_to_owners =
+      0;  // Requests to the owners, including repeated attempts.
   int sends = 0;
   int sheds = 0;
   int crashes = 0;
@@ -443,7 +445,7 @@
 
 // Upstreams of Tarimas' yard-desk service in one of its larger zones: servers
 // with 4 slots each.
-inline std::vector<simulated_upstream> YardDesk(int servers = 4) {
+inline std::vector<simulated_upstream> YardDeskUpstreams(int servers = 4) {
   std::vector<simulated_upstream> upstreams;
   for (int i = 0; i < servers; ++i) {
     simulated_upstream u;
--- a/tests/protocol/change_index_test.cc
+++ b/tests/protocol/change_index_test.cc
@@ -32,7 +32,7 @@
 
 BOOST_AUTO_TEST_CASE(ReturnsTheLastStateOfChangedKeys) {
   change_index index;
-  index.OnCopy({Item("a", "1", 3), Item("b", "1", 4)}, 5);
+  index.OnFullCopy({Item("a", "1", 3), Item("b", "1", 4)}, 5);
   index.OnWritten(Item("a", "2", 6));
   index.OnWritten(Item("a", "3", 7));
   index.OnRemoved("b", 8);
@@ -40,17 +40,17 @@
   BOOST_TEST(Text(index.ChangesAfter(5)) == "a=3 b- ");
   BOOST_TEST(Text(index.ChangesAfter(7)) == "b- ");
   BOOST_TEST(Text(index.ChangesAfter(8)) == "");
-  BOOST_TEST(!index.HasNewsAfter(8));
+  BOOST_TEST(!index.HasChangesAfter(8));
 }
 
 // An upstream renews its entry again and again. A reader that has the entry
 // needs the confirmation, not the entry.
 BOOST_AUTO_TEST_CASE(UnchangedWritesAreOnlyConfirmed) {
   change_index index;
-  index.OnCopy({Item("a", "long", 3)}, 5);
+  index.OnFullCopy({Item("a", "long", 3)}, 5);
   index.OnConfirmed("a", 6);
   BOOST_TEST(Text(index.ChangesAfter(5)) == "a~ ");
-  BOOST_TEST(!index.HasNewsAfter(5));
+  BOOST_TEST(!index.HasChangesAfter(5));
   index.OnWritten(Item("a", "new", 7));
   index.OnConfirmed("a", 9);
   BOOST_TEST(Text(index.ChangesAfter(5)) == "a=new ");
@@ -59,23 +59,23 @@
 
 BOOST_AUTO_TEST_CASE(BeforeTheFirstCopyNothingIsKnown) {
   change_index index;
-  index.OnCopy({Item("a", "1", 3)}, 5);
+  index.OnFullCopy({Item("a", "1", 3)}, 5);
   BOOST_TEST(Text(index.ChangesAfter(4)) == "gone");
-  BOOST_TEST(index.HasNewsAfter(4));
+  BOOST_TEST(index.HasChangesAfter(4));
 }
 
 // The store compacted its history, and a full copy was read. Keys that are not
 // in the copy were removed earlier, and readers must receive these removals.
 BOOST_AUTO_TEST_CASE(ACopyRemovesMissingKeys) {
   change_index index;
-  index.OnCopy({Item("a", "1", 3), Item("b", "1", 4)}, 5);
-  index.OnCopy({Item("b", "1", 4), Item("c", "1", 8)}, 9);
+  index.OnFullCopy({Item("a", "1", 3), Item("b", "1", 4)}, 5);
+  index.OnFullCopy({Item("b", "1", 4), Item("c", "1", 8)}, 9);
   BOOST_TEST(Text(index.ChangesAfter(5)) == "c=1 a- ");
 }
 
 BOOST_AUTO_TEST_CASE(AKeyWrittenAfterRemovalIsPresent) {
   change_index index;
-  index.OnCopy({Item("a", "1", 3)}, 5);
+  index.OnFullCopy({Item("a", "1", 3)}, 5);
   index.OnRemoved("a", 6);
   index.OnConfirmed("a", 7);
   BOOST_TEST(Text(index.ChangesAfter(5)) == "a- ");
@@ -88,7 +88,8 @@
 // removal must read a full copy, or would keep the key for good.
 BOOST_AUTO_TEST_CASE(DroppedRemovalsNeedAFullCopy) {
   change_index index(2);
-  index.OnCopy({Item("a", "1", 1), Item("b", "1", 2), Item("c", "1", 3)}, 5);
+  index.OnFullCopy({Item("a", "1", 1), Item("b", "1", 2), Item("c", "1", 3)},
+                   5);
   index.OnRemoved("a", 6);
   index.OnRemoved("b", 7);
   BOOST_TEST(Text(index.ChangesAfter(5)) == "a- b- ");
@@ -100,7 +101,7 @@
 // Changes that arrive by two paths overtake each other.
 BOOST_AUTO_TEST_CASE(OlderChangesOfAKeyAreIgnored) {
   change_index index;
-  index.OnCopy({Item("a", "1", 3)}, 5);
+  index.OnFullCopy({Item("a", "1", 3)}, 5);
   index.OnWritten(Item("a", "3", 8));
   index.OnWritten(Item("a", "2", 7));
   index.OnRemoved("a", 6);
@@ -114,7 +115,7 @@
   pcg32 random(7);
   std::map<std::string, store_item> store;
   change_index indexes[2];
-  for (change_index& index : indexes) index.OnCopy({}, 1);
+  for (change_index& index : indexes) index.OnFullCopy({}, 1);
   store_revision revision = 1;
   std::map<std::string, std::string> follower;
   store_revision follower_at = 1;
@@ -131,7 +132,7 @@
       if (random(4) == 0) {
         std::vector<store_item> items;
         for (const auto& [name, item] : store) items.push_back(item);
-        indexes[1].OnCopy(items, revision);
+        indexes[1].OnFullCopy(items, revision);
       } else {
         indexes[1].OnWritten(store[key]);
       }
--- a/tests/protocol/feed_sources_test.cc
+++ b/tests/protocol/feed_sources_test.cc
@@ -34,7 +34,7 @@
 std::map<vm_id, std::vector<vm_id>> Plans(
     const std::vector<feed_member>& fleet) {
   std::map<vm_id, std::vector<vm_id>> plans;
-  for (const feed_member& m : fleet) plans[m.vm] = PlanFeed(m, fleet);
+  for (const feed_member& m : fleet) plans[m.vm] = PlanFeedSources(m, fleet);
   return plans;
 }
 
--- a/tests/protocol/fleet_feed_test.cc
+++ b/tests/protocol/fleet_feed_test.cc
@@ -98,8 +98,8 @@
   now_ += milliseconds(900);
   feed_.OnRange(5, now_);
   BOOST_CHECK(feed_.ProvenAt() == sent);
-  BOOST_TEST(feed_.IsProvenSince(seconds(3), sent + milliseconds(2999)));
-  BOOST_TEST(!feed_.IsProvenSince(seconds(3), sent + seconds(3)));
+  BOOST_TEST(feed_.IsProvenWithin(seconds(3), sent + milliseconds(2999)));
+  BOOST_TEST(!feed_.IsProvenWithin(seconds(3), sent + seconds(3)));
 }
 
 // Changes come just before watches would have ended. A VM whose proof grew
@@ -113,7 +113,7 @@
     BOOST_REQUIRE(order);
     const bool change = i % 3 != 2;
     now_ += change ? order->wait - milliseconds(10) : order->wait;
-    BOOST_TEST(feed_.IsProvenSince(milliseconds(2701), now_));
+    BOOST_TEST(feed_.IsProvenWithin(milliseconds(2701), now_));
     feed_.OnEvents(6 + i, change, now_);
   }
 }
@@ -153,7 +153,7 @@
   now_ += seconds(4);
   BOOST_REQUIRE(feed_.NextCall(now_));
   feed_.OnRange(9, now_);
-  BOOST_CHECK(feed_.LapsedUntil() == now_ + milliseconds(2100));
+  BOOST_CHECK(feed_.ExpiryGraceUntil() == now_ + milliseconds(2100));
   BOOST_TEST(feed_.IsConnected());
 }
 
@@ -231,7 +231,7 @@
   now_ += seconds(1);
   BOOST_REQUIRE(feed_.NextCall(now_, true));
   feed_.OnRelayed(7, {}, {}, milliseconds(1500), now_);
-  BOOST_CHECK(feed_.LapsedUntil() == now_ + milliseconds(1500));
+  BOOST_CHECK(feed_.ExpiryGraceUntil() == now_ + milliseconds(1500));
 }
 
 // Nothing changes in the store. VMs that read from other VMs need proofs that
@@ -239,7 +239,7 @@
 BOOST_AUTO_TEST_CASE(ProofsStayYoungAcrossTwoRelays) {
   fleet_feed feeds[3] = {fleet_feed(feed_options{}), fleet_feed(feed_options{}),
                          fleet_feed(feed_options{})};
-  feeds[0].SetShared(true);
+  feeds[0].SetServesOthers(true);
   for (fleet_feed& feed : feeds) {
     BOOST_REQUIRE(feed.NextCall(now_));
     feed.OnRange(5, now_);
--- a/tests/protocol/loan_book_test.cc
+++ b/tests/protocol/loan_book_test.cc
@@ -9,9 +9,9 @@
 using citron::FromSeconds;
 using citron::kWholePpb;
 using citron::loan_actions;
-using citron::loan_ask;
 using citron::loan_book;
 using citron::loan_grant;
+using citron::loan_request;
 using citron::loan_return;
 using citron::loan_settings;
 using citron::monotonic_time;
@@ -55,7 +55,7 @@
   loan_book book;
 };
 
-loan_ask MakeLoanAsk(std::uint64_t number, std::int64_t ppb) {
+loan_request MakeLoanAsk(std::uint64_t number, std::int64_t ppb) {
   return {kShop, number, ppb, 0, 2000};
 }
 
@@ -65,9 +65,9 @@
 }
 
 // Returns the first action, which must be a loan request.
-loan_ask FirstLoanAsk(const loan_actions& actions) {
+loan_request FirstLoanAsk(const loan_actions& actions) {
   BOOST_REQUIRE(!actions.empty());
-  return std::get<citron::send_loan_ask>(actions.front()).message;
+  return std::get<citron::send_loan_request>(actions.front()).message;
 }
 
 }  // namespace
@@ -77,7 +77,7 @@
 BOOST_AUTO_TEST_CASE(BusyEntryBorrowsBeforeItsTokensRunOut) {
   half_share_entry one(kOne);
   one.book.SetPeers({kTwo});
-  const loan_ask ask = FirstLoanAsk(one.SendRequests(2, 1.3, 800));
+  const loan_request ask = FirstLoanAsk(one.SendRequests(2, 1.3, 800));
   BOOST_TEST(ask.ppb > kWholePpb / 5);
   BOOST_TEST(one.limits.Find(kShop)->refusals == 0u);
 }
@@ -100,7 +100,7 @@
   half_share_entry lender(kTwo);
   half_share_entry borrower(kOne);
   borrower.book.SetPeers({kTwo});
-  const loan_ask ask = FirstLoanAsk(borrower.SendRequests(2, 1.3, 800));
+  const loan_request ask = FirstLoanAsk(borrower.SendRequests(2, 1.3, 800));
   const loan_grant grant =
       OnlyGrant(lender.book.OnLoanAsk(kOne, ask, After(3.3)));
   BOOST_TEST(lender.book.OnLoanAsk(kOne, ask, After(3.31)).empty());
@@ -116,7 +116,7 @@
 BOOST_AUTO_TEST_CASE(LoanTimeCountsFromTheRequest) {
   half_share_entry borrower(kOne);
   borrower.book.SetPeers({kTwo});
-  const loan_ask ask = FirstLoanAsk(borrower.SendRequests(2, 1.3, 800));
+  const loan_request ask = FirstLoanAsk(borrower.SendRequests(2, 1.3, 800));
   const loan_grant grant{kShop, ask.number, ask.ppb, 0, 2000};
   borrower.book.OnLoanGrant(kTwo, grant, After(5.4));
   BOOST_TEST(borrower.Ppb(5.4) == kWholePpb / 2);
@@ -161,7 +161,7 @@
   half_share_entry lender(kTwo);
   half_share_entry borrower(kOne);
   borrower.book.SetPeers({kTwo});
-  const loan_ask ask = FirstLoanAsk(borrower.SendRequests(2, 1.3, 800));
+  const loan_request ask = FirstLoanAsk(borrower.SendRequests(2, 1.3, 800));
   const loan_grant grant =
       OnlyGrant(lender.book.OnLoanAsk(kOne, ask, After(3.3)));
   borrower.book.OnLoanGrant(kTwo, grant, After(3.32));
@@ -204,12 +204,12 @@
 
 BOOST_AUTO_TEST_CASE(HostileMessagesHaveNoEffect) {
   half_share_entry lender(kTwo);
-  const loan_ask bad[] = {
+  const loan_request bad[] = {
       {workspace_id("none"), 1, kWholePpb, 0, 2000},
       {kShop, 1, kWholePpb, 0, -1},
       {kShop, 1, kWholePpb, 0, 1'000'000'000},
   };
-  for (const loan_ask& ask : bad) {
+  for (const loan_request& ask : bad) {
     BOOST_TEST(lender.book.OnLoanAsk(kOne, ask, After(2)).empty());
   }
   lender.book.OnLoanGrant(kOne, {kShop, 1, kWholePpb, 1e9, 2000}, After(2));
@@ -223,7 +223,7 @@
 BOOST_AUTO_TEST_CASE(LeavingEntryReturnsLoansAndLendsNoMore) {
   half_share_entry leaving(kOne);
   leaving.book.SetPeers({kTwo});
-  const loan_ask ask = FirstLoanAsk(leaving.SendRequests(2, 1.3, 800));
+  const loan_request ask = FirstLoanAsk(leaving.SendRequests(2, 1.3, 800));
   leaving.book.OnLoanGrant(kTwo, {kShop, ask.number, kWholePpb / 4, 0, 2000},
                            After(3.3));
   const loan_actions actions = leaving.book.OnRelease(After(3.4));
--- a/tests/protocol/membership_test.cc
+++ b/tests/protocol/membership_test.cc
@@ -172,9 +172,9 @@
   membership m = MakeMembership(Vm(1, 1));
   const member_info other = Vm(1, 2);
   m.OnHeartbeat(MakeHeartbeat(other, 1), At(0));
-  m.OnOperatorWords({other.vm}, {}, At(1));
+  m.OnOperatorSettings({other.vm}, {}, At(1));
   BOOST_TEST((m.StateOf(other.vm) == member_state::kDraining));
-  m.OnOperatorWords({}, {other.vm}, At(1));
+  m.OnOperatorSettings({}, {other.vm}, At(1));
   BOOST_TEST((m.StateOf(other.vm) == member_state::kGone));
   BOOST_TEST(m.Usable().size() == 1u);
 }
--- a/tests/protocol/ownership_test.cc
+++ b/tests/protocol/ownership_test.cc
@@ -12,7 +12,7 @@
 using ownership_action::ownership_changed;
 using ownership_action::read_table;
 using ownership_action::send_promise;
-using ownership_action::send_promise_ask;
+using ownership_action::send_promise_request;
 using ownership_action::write_table;
 
 namespace {
@@ -243,11 +243,11 @@
       Execute(n, vms[n].machine->OnStoreUnreachable(call, LocalNow(vms[n])));
     });
   }
-  void Perform(int n, const send_promise_ask& a) {
+  void Perform(int n, const send_promise_request& a) {
     const int to = Number(a.to);
     if (cut[n][to] || !vms[to].up || Chance(loss)) return;
     ToVm(to, [this, to, m = a.message] {
-      Execute(to, vms[to].machine->OnPromiseAsk(m, LocalNow(vms[to])));
+      Execute(to, vms[to].machine->OnPromiseRequest(m, LocalNow(vms[to])));
     });
   }
   void Perform(int n, const send_promise& a) {
@@ -428,7 +428,7 @@
     BOOST_TEST(zone.OwnedCount(1) == 0);
     if (is_declared_dead) {
       zone.vms[1].machine->OnDeclaredDead({fake_zone::Name(0)},
-                                  zone.LocalNow(zone.vms[1]));
+                                          zone.LocalNow(zone.vms[1]));
       zone.Run(1);
     } else {
       zone.Run(11);
@@ -533,17 +533,17 @@
   table.assignments[Upstream(0)] = {vm_id("a"), vm_id(), 0};
   const std::string json = WriteOwnershipTable(table);
   scripted_ownership b;
-  const promise_ask request{vm_id("a"), 1, 1, 1, 1};
+  const promise_request request{vm_id("a"), 1, 1, 1, 1};
   b.Timer(1);
   b.TableRead(json, 7, 1);
   BOOST_TEST(b.wrote);
-  BOOST_TEST(b.machine.OnPromiseAsk(request, b.At(1.1)).size() == 1u);
+  BOOST_TEST(b.machine.OnPromiseRequest(request, b.At(1.1)).size() == 1u);
   b.machine.OnStoreUnreachable(b.call, b.At(1.2));
   b.Timer(5);
   b.TableRead(json, 7, 5);
   BOOST_TEST(b.wrote);
   b.Cas(cas_outcome::kUnknown, 0, 5.1);
-  BOOST_TEST(b.machine.OnPromiseAsk(request, b.At(5.2)).empty());
+  BOOST_TEST(b.machine.OnPromiseRequest(request, b.At(5.2)).empty());
 }
 
 // A leaving owner releases its upstream, and the answer to that write is lost.
@@ -606,7 +606,7 @@
     promise gone;
     gone.from = vm_id("a");
     gone.from_incarnation = gone.to_incarnation = gone.number = 1;
-    gone.predecessor_gone = true;
+    gone.predecessor_ended = true;
     gone.address = {"127.0.0.1", 1};
     b.machine.OnPromise(gone, b.At(is_early ? 1.9 : 2.1));
     BOOST_TEST(b.machine.MaySend(Upstream(0), b.At(5)) == is_early);
--- a/tests/protocol/quota_simulation.h
+++ b/tests/protocol/quota_simulation.h
@@ -78,7 +78,7 @@
     for (std::size_t vm = 0; vm < quotas_.size(); ++vm) {
       for (std::size_t gone = first; gone < last; ++gone) {
         if (vm >= first && vm < last) continue;
-        quotas_[vm].RemoveVm(VmId(gone), now_);
+        quotas_[vm].OnVmUnlisted(VmId(gone), now_);
       }
     }
   }
@@ -125,7 +125,7 @@
   static vm_id VmId(std::size_t vm) { return vm_id(fmt::format("vm{}", vm)); }
 
   void SetLimits(workspace_quota& quota) const {
-    quota.SetViewLag(interval_ + std::chrono::milliseconds(300));
+    quota.SetMaxReportAge(interval_ + std::chrono::milliseconds(300));
     quota.SetSilenceLimit(4 * interval_);
   }
 
@@ -151,10 +151,10 @@
         if (!IsDelivered(m.from, vm)) continue;
         quotas_[vm].OnReport(VmId(m.from), m.report, now_);
         quotas_[vm].OnContactUpdate(VmId(m.from),
-                              {m.last_received[vm], now_ + interval_});
+                                    {m.last_received[vm], now_ + interval_});
         last_received_[vm][m.from] = m.sent_at;
         for (const std::size_t unlisted : m.received_from_unlisted) {
-          quotas_[vm].OnHeardElsewhere(VmId(unlisted), now_);
+          quotas_[vm].OnReportReceivedElsewhere(VmId(unlisted), now_);
         }
       }
     }
--- a/tests/protocol/rate_limiter_test.cc
+++ b/tests/protocol/rate_limiter_test.cc
@@ -61,13 +61,13 @@
 // workspace is far inside its rate.
 BOOST_AUTO_TEST_CASE(EmptyBucketAdmitsWithItsNextToken) {
   const limit_decision decision = SendRequest();
-  const auto* awaited = std::get_if<token_awaited>(&decision);
+  const auto* awaited = std::get_if<wait_for_token>(&decision);
   BOOST_REQUIRE(awaited != nullptr);
   const auto next = Limiter().NextTokenAt(Now());
   BOOST_REQUIRE(next.has_value());
   BOOST_TEST((*next <= Now() + FromMilliseconds(11)));
-  BOOST_TEST(Limiter().OnTokenTime(*next - FromMilliseconds(1)).empty());
-  const auto in = ActionsOf<let_in>(Limiter().OnTokenTime(*next));
+  BOOST_TEST(Limiter().OnNextTokenTime(*next - FromMilliseconds(1)).empty());
+  const auto in = ActionsOf<admit_waiting>(Limiter().OnNextTokenTime(*next));
   BOOST_REQUIRE(in.size() == 1u);
   BOOST_TEST((in[0].ticket == awaited->ticket));
 }
@@ -77,14 +77,14 @@
 // and under steady demand every waiting request would.
 BOOST_AUTO_TEST_CASE(NewRequestTakesNoTokenOfWaitingRequests) {
   const limit_decision first = SendRequest();
-  BOOST_REQUIRE(std::holds_alternative<token_awaited>(first));
+  BOOST_REQUIRE(std::holds_alternative<wait_for_token>(first));
   AdvanceTime(11);
   limit_actions actions;
   const limit_decision second = SendRequest(actions);
-  const auto in = ActionsOf<let_in>(actions);
+  const auto in = ActionsOf<admit_waiting>(actions);
   BOOST_REQUIRE(in.size() == 1u);
-  BOOST_TEST((in[0].ticket == std::get<token_awaited>(first).ticket));
-  BOOST_TEST(std::holds_alternative<token_awaited>(second));
+  BOOST_TEST((in[0].ticket == std::get<wait_for_token>(first).ticket));
+  BOOST_TEST(std::holds_alternative<wait_for_token>(second));
 }
 
 // A workspace sends ten times its rate. Requests for which the rate makes a
@@ -104,11 +104,11 @@
       ++refused_at_once;
       BOOST_TEST((over->retry_at > Now()));
     }
-    const limit_actions more =
-        ms % 50 == 0 ? Limiter().OnTimer(Now()) : Limiter().OnTokenTime(Now());
+    const limit_actions more = ms % 50 == 0 ? Limiter().OnTimer(Now())
+                                            : Limiter().OnNextTokenTime(Now());
     actions.insert(actions.end(), more.begin(), more.end());
-    let_in_late += static_cast<int>(ActionsOf<let_in>(actions).size());
-    refused_late += static_cast<int>(ActionsOf<turn_away>(actions).size());
+    let_in_late += static_cast<int>(ActionsOf<admit_waiting>(actions).size());
+    refused_late += static_cast<int>(ActionsOf<reject_waiting>(actions).size());
   }
   BOOST_TEST(refused_late == 0);
   BOOST_TEST(let_in_late >= 100 * kSeconds - 20);
@@ -121,23 +121,23 @@
 BOOST_AUTO_TEST_CASE(CancelledRequestNoLongerWaits) {
   const limit_decision first = SendRequest();
   const limit_decision second = SendRequest();
-  Limiter().OnCancel(kDepot, std::get<token_awaited>(first).ticket);
+  Limiter().OnCancel(kDepot, std::get<wait_for_token>(first).ticket);
   AdvanceTime(11);
-  const auto in = ActionsOf<let_in>(Limiter().OnTimer(Now()));
+  const auto in = ActionsOf<admit_waiting>(Limiter().OnTimer(Now()));
   BOOST_REQUIRE(in.size() == 1u);
-  BOOST_TEST((in[0].ticket == std::get<token_awaited>(second).ticket));
+  BOOST_TEST((in[0].ticket == std::get<wait_for_token>(second).ticket));
 }
 
 // An operator deletes a contract while its callers go on sending.
 BOOST_AUTO_TEST_CASE(WithoutContractNothingIsAdmitted) {
   const limit_decision waiting = SendRequest();
-  BOOST_REQUIRE(std::holds_alternative<token_awaited>(waiting));
+  BOOST_REQUIRE(std::holds_alternative<wait_for_token>(waiting));
   Limiter().SetContracts({}, Now());
   BOOST_TEST(std::holds_alternative<over_rate>(SendRequest()));
   AdvanceTime(200);
   const limit_actions actions = Limiter().OnTimer(Now());
-  BOOST_TEST(ActionsOf<let_in>(actions).empty());
-  BOOST_TEST(ActionsOf<turn_away>(actions).size() == 1u);
+  BOOST_TEST(ActionsOf<admit_waiting>(actions).empty());
+  BOOST_TEST(ActionsOf<reject_waiting>(actions).size() == 1u);
 }
 
 // A restarted entry receives the list of lenders a moment after its first
@@ -152,15 +152,16 @@
   };
   monotonic_time now = kStart + FromMilliseconds(20);
   for (int i = 0; i < 3; ++i, now += FromMilliseconds(15)) {
-    BOOST_TEST(std::holds_alternative<token_awaited>(ask(now)));
+    BOOST_TEST(std::holds_alternative<wait_for_token>(ask(now)));
   }
   started.SetEntries({kOther}, {kSelf, kOther});
-  const auto asks = ActionsOf<send_loan_ask>(started.OnTimer(now));
+  const auto asks = ActionsOf<send_loan_request>(started.OnTimer(now));
   BOOST_REQUIRE(!asks.empty());
   const loan_grant grant{kDepot, asks[0].message.number, asks[0].message.ppb, 2,
                          asks[0].message.duration_ms};
-  BOOST_TEST(ActionsOf<let_in>(started.OnMessage(kOther, grant, now)).size() ==
-             2u);
+  BOOST_TEST(
+      ActionsOf<admit_waiting>(started.OnMessage(kOther, grant, now)).size() ==
+      2u);
   // Without lenders, and once the entry's share should have come, the entry
   // rejects.
   rate_limiter alone(kSelf, Options(), 1, kStart);
@@ -186,13 +187,13 @@
     limit_actions ignored;
     const limit_decision decision =
         started.OnRequest(kDepot, now + FromSeconds(10), now, ignored);
-    const auto* awaited = std::get_if<token_awaited>(&decision);
+    const auto* awaited = std::get_if<wait_for_token>(&decision);
     BOOST_REQUIRE(awaited != nullptr);
     const monotonic_time begins = kStart + Options().loan.SettleTime();
-    BOOST_TEST(ActionsOf<turn_away>(started.OnTimer(begins)).empty());
+    BOOST_TEST(ActionsOf<reject_waiting>(started.OnTimer(begins)).empty());
     if (is_share_received_late) started.SetShare(share, 1, begins);
-    const auto in =
-        ActionsOf<let_in>(started.OnTimer(begins + FromMilliseconds(50)));
+    const auto in = ActionsOf<admit_waiting>(
+        started.OnTimer(begins + FromMilliseconds(50)));
     BOOST_REQUIRE(in.size() == 1u);
     BOOST_TEST((in[0].ticket == awaited->ticket));
   }
@@ -203,7 +204,7 @@
 BOOST_AUTO_TEST_CASE(LendsShareWithoutLocalDemand) {
   AdvanceTime(500);
   const limit_actions actions = Limiter().OnMessage(
-      kOther, loan_ask{kDepot, 1, kWholePpb / 2, 0, 2000}, Now());
+      kOther, loan_request{kDepot, 1, kWholePpb / 2, 0, 2000}, Now());
   const auto grants = ActionsOf<send_loan_grant>(actions);
   BOOST_REQUIRE(grants.size() == 1u);
   BOOST_TEST((grants[0].to == kOther));
--- a/tests/protocol/share_holder_test.cc
+++ b/tests/protocol/share_holder_test.cc
@@ -238,13 +238,13 @@
   LocalEntry(400'000, 100'000);
   Entry("dead") = {.vm = vm_id("dead"), .floor_ppm = 500'000};
   ApplyWrite(Read(0, 0.1), 0.2);
-  holder->OnGoneVms({vm_id("dead")}, At(3));
+  holder->OnVmsDeclaredDead({vm_id("dead")}, At(3));
   ApplyWrite(Read(4, 4.1), 4.2);
   BOOST_TEST((table.Find(vm_id("dead")) != nullptr));
   ApplyWrite(Read(8, 8.1), 8.2);
   BOOST_TEST((table.Find(vm_id("dead")) == nullptr));
   BOOST_TEST(Granted() == citron::kWholePpm);
-  holder->OnGoneVms({vm_id("dead"), vm_id("me")}, At(9));
+  holder->OnVmsDeclaredDead({vm_id("dead"), vm_id("me")}, At(9));
   BOOST_TEST(Granted() == 0);
 }
 
--- a/tests/protocol/token_home_test.cc
+++ b/tests/protocol/token_home_test.cc
@@ -14,12 +14,12 @@
 using citron::monotonic_time;
 using citron::no_remote_home;
 using citron::over_rate;
-using citron::send_token_ask;
-using citron::token_ask;
+using citron::send_token_request;
 using citron::token_bucket;
 using citron::token_grant;
 using citron::token_grants;
 using citron::token_home;
+using citron::token_request;
 using citron::token_search_result;
 using citron::vm_id;
 using citron::workspace_id;
@@ -59,14 +59,14 @@
     }
     home->BorrowRestOfContract();
   }
-  token_ask RequestFromOther(monotonic_time now) const {
+  token_request RequestFromOther(monotonic_time now) const {
     const token_search_result search = other->homes.FindToken(kTiny, now);
-    const auto* ask = std::get_if<send_token_ask>(&search);
+    const auto* ask = std::get_if<send_token_request>(&search);
     BOOST_REQUIRE(ask != nullptr);
     BOOST_TEST((ask->to == home->ref));
     return ask->message;
   }
-  token_grants ReplyOfHome(const token_ask& ask, monotonic_time now,
+  token_grants ReplyOfHome(const token_request& ask, monotonic_time now,
                            bool may_borrow = false) const {
     return home->homes.OnTokenAsk(home->limits, other->ref, ask, may_borrow,
                                   now);
@@ -119,7 +119,7 @@
 // A link that repeats messages delivers a token request twice. The second must
 // not get a token of its own: the workspace would get fewer than it pays for.
 BOOST_AUTO_TEST_CASE(RepeatedRequestGetsNoSecondToken) {
-  const token_ask ask = RequestFromOther(After(1));
+  const token_request ask = RequestFromOther(After(1));
   BOOST_TEST(ReplyOfHome(ask, After(1.05)).size() == 1u);
   BOOST_TEST(ReplyOfHome(ask, After(1.06)).empty());
 }
@@ -223,7 +223,7 @@
 
 // An operator lowers the contract while tokens of the larger one are in flight.
 BOOST_AUTO_TEST_CASE(TokensOfALargerContractAreLost) {
-  const token_ask ask = RequestFromOther(After(1));
+  const token_request ask = RequestFromOther(After(1));
   other->limits.SetContract(kTiny, 2, 2, After(1.01));
   const token_grants grants = ReplyOfHome(ask, After(1.05));
   BOOST_TEST(!OtherAccepts(grants[0].message, After(1.1)));
--- a/tests/protocol/vm_registration_test.cc
+++ b/tests/protocol/vm_registration_test.cc
@@ -13,7 +13,7 @@
 
   void Register() {
     BOOST_CHECK(registration_.Next(now_) == vm_registration::call::kGrant);
-    registration_.OnGranted(lease_id("7"), now_);
+    registration_.OnLeaseGranted(lease_id("7"), now_);
     BOOST_CHECK(registration_.Next(now_) == vm_registration::call::kWrite);
     registration_.OnRecordWritten(now_);
   }
@@ -29,7 +29,7 @@
   BOOST_CHECK(!registration_.Next(now_));
   now_ += milliseconds(800);
   BOOST_CHECK(registration_.Next(now_) == vm_registration::call::kRenew);
-  registration_.OnRenewed(now_);
+  registration_.OnLeaseRenewed(now_);
   BOOST_CHECK(!registration_.Next(now_ + milliseconds(799)));
 }
 
@@ -40,7 +40,7 @@
   Register();
   now_ += milliseconds(800);
   BOOST_REQUIRE(registration_.Next(now_));
-  registration_.OnLapsed(now_);
+  registration_.OnLeaseExpired(now_);
   Register();
 }
 
@@ -48,7 +48,7 @@
 // be written again, which is harmless if the first write took effect.
 BOOST_AUTO_TEST_CASE(WriteWithoutAnswerIsRepeated) {
   BOOST_REQUIRE(registration_.Next(now_));
-  registration_.OnGranted(lease_id("7"), now_);
+  registration_.OnLeaseGranted(lease_id("7"), now_);
   BOOST_REQUIRE(registration_.Next(now_));
   registration_.OnFailed(now_);
   BOOST_CHECK(!registration_.Next(now_));
--- a/tests/protocol/workspace_quota_test.cc
+++ b/tests/protocol/workspace_quota_test.cc
@@ -151,10 +151,10 @@
   quota.SetContract(100, 100, start);
   quota.SetFleetSize(2);
   const vm_id other("other");
-  quota.KeepVm(other);
+  quota.OnVmListed(other);
   quota.OnReport(other, {50, 250}, start + seconds(1));
   quota.SetFleetSize(1);
-  quota.RemoveVm(other, start + seconds(2));
+  quota.OnVmUnlisted(other, start + seconds(2));
   quota.OnReport(other, {40, 200}, start + seconds(3));
   const double share_while_reporting = quota.State(start + seconds(3)).share;
   for (int i = 4; i < 20; ++i) quota.Report(start + seconds(i));
--- a/tests/wire/messages_test.cc
+++ b/tests/wire/messages_test.cc
@@ -58,8 +58,8 @@
   BOOST_TEST(grant.number == 9u);
   BOOST_TEST(grant.retry_ms == 70);
   BOOST_TEST(grant.burst == 4.5);
-  const auto ask =
-      DecodeWire<token_ask>(EncodeWire(token_ask{workspace_id("w"), 3}));
+  const auto ask = DecodeWire<token_request>(
+      EncodeWire(token_request{workspace_id("w"), 3}));
   BOOST_REQUIRE(IsOk(ask));
   BOOST_TEST(ValueOf(ask).number == 3u);
 }
--- a/tools/limits_experiment/simulated_fleet.h
+++ b/tools/limits_experiment/simulated_fleet.h
@@ -187,7 +187,7 @@
     gone_.insert(vms_[i]->id);
     for (int k = 0; k < Size(); ++k) {
       vm& v = *vms_[k];
-      if (v.holder) Carry(k, v.holder->OnGoneVms(gone_, Local(k)));
+      if (v.holder) Carry(k, v.holder->OnVmsDeclaredDead(gone_, Local(k)));
     }
   }
 
@@ -219,7 +219,7 @@
         e.limiter->OnRequest(id, now + std::chrono::hours(1), now, actions);
     if (std::holds_alternative<admitted>(decision)) {
       RecordAdmitted(id);
-    } else if (const auto* awaited = std::get_if<token_awaited>(&decision)) {
+    } else if (const auto* awaited = std::get_if<wait_for_token>(&decision)) {
       e.waits[awaited->ticket] = {id, is_in_rate};
     } else {
       RecordRefused(id, is_in_rate);
@@ -473,7 +473,7 @@
     PostEntry(i, loop, At(i, *next), [=, this] {
       entry& woken = vms_[i]->entries[loop];
       woken.token_time = monotonic_time::max();
-      Carry(i, loop, woken.limiter->OnTokenTime(Local(i)));
+      Carry(i, loop, woken.limiter->OnNextTokenTime(Local(i)));
       ArmTokenTime(i, loop);
     });
   }
@@ -696,16 +696,16 @@
       std::visit([&](const auto& a) { Do(i, loop, a); }, action);
     }
   }
-  void Do(int i, int loop, const let_in& action) {
+  void Do(int i, int loop, const admit_waiting& action) {
     RecordAdmitted(TakeWaiting(i, loop, action.ticket).workspace);
   }
-  void Do(int i, int loop, const turn_away& action) {
+  void Do(int i, int loop, const reject_waiting& action) {
     const waiting refused = TakeWaiting(i, loop, action.ticket);
     RecordRefused(refused.workspace, refused.is_in_rate);
   }
   template <class Send>
   void Do(int i, int loop, const Send& send) {
-    if constexpr (std::is_same_v<Send, send_token_ask>) ++token_asks_;
+    if constexpr (std::is_same_v<Send, send_token_request>) ++token_asks_;
     this->Send(i, vms_[i]->entries[loop].ref, send.to, send.message);
   }
   template <class Message>
--- a/tools/policy_experiment/experiment.cc
+++ b/tools/policy_experiment/experiment.cc
@@ -36,7 +36,7 @@
 
 struct scenario {
   std::string name;
-  upstreams servers = YardDesk();
+  upstreams servers = YardDeskUpstreams();
   loads callers;
   duration time = kTime;
 };
@@ -127,8 +127,8 @@
   for (const simulated_load& load : s.callers) {
     if (load.crashes_upstream) continue;
     const double fair = FairShares(wants, slots)[load.workspace];
-    const double got = result.workspaces.at(load.workspace).answered_in_time / time_s *
-                       ToSeconds(load.service_time);
+    const double got = result.workspaces.at(load.workspace).answered_in_time /
+                       time_s * ToSeconds(load.service_time);
     worst = std::min(worst, got / fair);
   }
   return worst;
@@ -156,7 +156,8 @@
     row.refused_per_s += w.callers_rejected / time_s;
     row.late_per_s += w.callers_failed / time_s;
   }
-  row.sends_for_good = result.sends / std::max(1.0, result.AnsweredInTime() * 1.0);
+  row.sends_for_good =
+      result.sends / std::max(1.0, result.AnsweredInTime() * 1.0);
   row.sheds = result.sheds;
   row.crashes = result.crashes;
   return row;
@@ -189,7 +190,7 @@
 scenario SmallZone(double factor) {
   scenario s;
   s.name = fmt::format("2 x 3 slots, {:.2f} x", factor);
-  s.servers = YardDesk(2);
+  s.servers = YardDeskUpstreams(2);
   for (simulated_upstream& u : s.servers) u.capacity.slots = 3;
   s.callers = LookupLoads(factor * 150, milliseconds(500));
   return s;
--- a/tools/policy_experiment/region_simulation.cc
+++ b/tools/policy_experiment/region_simulation.cc
@@ -32,10 +32,10 @@
  public:
   placement_choice(placement_options options, std::uint64_t seed)
       : placement_(std::move(options), seed) {}
-  std::optional<zone_id> Choose(const place_request& request,
+  std::optional<zone_id> Choose(const placement_request& request,
                                 monotonic_time now) override {
-    const place_result result = placement_.Choose(request, now);
-    const auto* choice = std::get_if<place_choice>(&result);
+    const placement_result result = placement_.Choose(request, now);
+    const auto* choice = std::get_if<placement_decision>(&result);
     if (choice == nullptr) return std::nullopt;
     return choice->zone;
   }
@@ -59,7 +59,7 @@
 class own_zone_choice : public zone_choice {
  public:
   explicit own_zone_choice(zone_id own) : own_(std::move(own)) {}
-  std::optional<zone_id> Choose(const place_request& request,
+  std::optional<zone_id> Choose(const placement_request& request,
                                 monotonic_time) override {
     if (!request.excluded.empty()) return std::nullopt;
     return own_;
@@ -71,7 +71,7 @@
 
 class best_report_choice : public zone_choice {
  public:
-  std::optional<zone_id> Choose(const place_request& request,
+  std::optional<zone_id> Choose(const placement_request& request,
                                 monotonic_time) override {
     std::optional<zone_id> best;
     double best_load = 0;
--- a/tools/policy_experiment/region_simulation.h
+++ b/tools/policy_experiment/region_simulation.h
@@ -20,7 +20,7 @@
 class zone_choice {
  public:
   virtual ~zone_choice() = default;
-  virtual std::optional<zone_id> Choose(const place_request& request,
+  virtual std::optional<zone_id> Choose(const placement_request& request,
                                         monotonic_time now) = 0;
   virtual void OnReport(const zone_report&) {}
   virtual void OnSent(const zone_id&, monotonic_time) {}
@@ -78,7 +78,7 @@
     std::size_t zone = 0;
     duration arrived{};
     duration service{};
-    place_request place;
+    placement_request place;
   };
 
   monotonic_time Now() const { return loop_.Now(); }
