--- a/include/citron/policy/upstream_tracker.h
+++ b/include/citron/policy/upstream_tracker.h
@@ -26,7 +26,7 @@
   double burst = 0;  // Below 1: this VM sends none while the upstream is cold.
 };
 
-struct upstream_standing_options {
+struct upstream_tracker_options {
   // Validity of a load report.
   duration report_lifetime = FromMilliseconds(1500);
   // Time without requests after a connect failure; doubles with each further
@@ -96,7 +96,7 @@
   double ColdTokens(monotonic_time now) const;
   void OnConnectFailure(monotonic_time now);
 
-  upstream_standing_options options_;
+  upstream_tracker_options options_;
   upstream_record record_;
   region_id region_;
   std::uint64_t hash_;
