--- /dev/null
+++ b/include/citron/policy/upstream_tracker.h
@@ -0,0 +1,127 @@
+#ifndef CITRON_POLICY_UPSTREAM_TRACKER_H_
+#define CITRON_POLICY_UPSTREAM_TRACKER_H_
+
+#include <cstdint>
+
+#include "citron/base/strong_id.h"
+#include "citron/base/time.h"
+#include "citron/config/routing_config.h"
+#include "citron/policy/upstream_chooser.h"
+#include "citron/policy/weight_control.h"
+
+namespace citron {
+
+// Load that an upstream reports with an answer: its requests, without the
+// answered one, and its slots.
+struct load_report {
+  int running = 0;
+  int waiting = 0;
+  int slots = 0;
+};
+
+// Requests that this VM may send to a cold upstream. The allowances of all VMs
+// add up to what the upstream can take while it is cold.
+struct cold_allowance {
+  double rate_per_s = 0;
+  double burst = 0;  // Below 1: this VM sends none while the upstream is cold.
+};
+
+struct upstream_tracker_options {
+  // Validity of a load report.
+  duration report_lifetime = FromMilliseconds(1500);
+  // Time without requests after a connect failure; doubles with each further
+  // connect failure up to `max_backoff`.
+  duration initial_backoff = FromMilliseconds(400);
+  duration max_backoff = FromMilliseconds(4000);
+  // Failure rate that ejects an upstream, the minimum number of outcomes before
+  // an ejection, and its duration. Each outcome but an answer without error
+  // counts as a failure; cancelled requests are not counted.
+  double ejection_failure_rate = 0.35;
+  int min_ejection_samples = 6;
+  duration ejection_duration = FromMilliseconds(3000);
+  // After a connect failure the upstream counts as cold until this time after
+  // its next answer. By then, a restarted upstream would have announced the
+  // restart and this VM would have read the announcement.
+  duration restart_report_delay = FromMilliseconds(2500);
+};
+
+// State of one upstream as seen by this VM: its announcement, this VM's
+// requests in flight, its load reports and the outcomes of requests.
+class upstream_tracker {
+ public:
+  upstream_tracker(const upstream_record& record, const region_id& region,
+                   monotonic_time now,
+                   const weight_control_options& weights = {});
+
+  const upstream_record& Record() const { return record_; }
+  // Returns whether the upstream announced that it leaves, or answered so since
+  // its last announcement.
+  bool IsLeaving() const { return record_.draining || reported_leaving_; }
+  const region_id& Region() const { return region_; }
+  std::uint64_t Hash() const { return hash_; }
+
+  // Takes a new announcement, which shows whether the upstream has restarted. A
+  // restart resets the failures, the load of other callers and the weight.
+  void OnRecord(const upstream_record& record, monotonic_time now);
+  void SetColdAllowance(const cold_allowance& allowance);
+  // Treats the upstream as cold for at least `left`, whatever it announced.
+  void MarkCold(duration left, monotonic_time now);
+
+  void OnSent(monotonic_time now);
+  void OnReport(const load_report& report, monotonic_time now);
+  // Takes the number of requests at the upstream that another VM reports.
+  void OnPeerLoadReport(int requests, monotonic_time now);
+  void OnDone(upstream_outcome outcome, monotonic_time now);
+  int InFlight() const { return in_flight_; }
+  // Returns the requests at the upstream: this VM's in flight and, while the
+  // last report is valid, those of other callers.
+  int Load(monotonic_time now) const;
+  // Returns the fraction of its full weight that the upstream has in the
+  // choice, by its reported load.
+  double LoadWeight() const { return weight_.Weight(); }
+  // Returns whether connections failed since the last answer, which may be a
+  // server error. The selector then sends one request at a time.
+  bool IsOnProbation() const { return connect_failures_ > 0; }
+  bool IsInBackoff(monotonic_time now) const { return now < backoff_until_; }
+  bool IsEjected(monotonic_time now) const { return now < ejected_until_; }
+  // Returns whether the upstream has recently started, or may have.
+  bool IsCold(monotonic_time now) const;
+  // Returns whether one more request stays within the cold allowance.
+  bool CanTakeColdRequest(monotonic_time now) const;
+  double FailureRate() const { return failure_rate_; }
+
+ private:
+  void UpdateLoad(int requests, int local_in_flight, int slots,
+                  monotonic_time now);
+  double ColdTokens(monotonic_time now) const;
+  void OnConnectFailure(monotonic_time now);
+
+  upstream_tracker_options options_;
+  upstream_record record_;
+  region_id region_;
+  std::uint64_t hash_;
+  bool reported_leaving_ = false;
+  int in_flight_ = 0;
+
+  int other_callers_load_ = 0;
+  monotonic_time reported_at_{};
+  weight_control weight_;
+
+  int connect_failures_ = 0;
+  monotonic_time backoff_until_{};
+  double failure_rate_ = 0;
+  int samples_ = 0;
+  monotonic_time ejected_until_{};
+
+  monotonic_time cold_until_{};
+  bool may_have_restarted_ = false;
+  // monotonic_time::max() until the first answer after a connect failure.
+  monotonic_time restart_ruled_out_at_{};
+  cold_allowance allowance_;
+  double cold_tokens_ = 0;
+  monotonic_time cold_tokens_at_{};
+};
+
+}  // namespace citron
+
+#endif  // CITRON_POLICY_UPSTREAM_TRACKER_H_
--- a/src/policy/service_time_estimate.cc
+++ b/src/policy/service_time_estimate.cc
@@ -6,27 +6,28 @@
 
 namespace {
 
-constexpr int kLeastSamples = 20;
-// The median moves by this part of itself with each sample; the first ones move
-// it by more.
+// Samples before Median() returns an estimate.
+constexpr int kMinSamples = 20;
+// Sample n moves the median by the fraction `kStep` or `kInitialStep` / n of
+// its value, whichever is larger; the first sample sets the median.
 constexpr double kStep = 0.03;
-constexpr double kFirstStep = 0.5;
+constexpr double kInitialStep = 0.5;
 
 }  // namespace
 
-void service_time_estimate::OnServed(duration took) {
-  const double took_s = ToSeconds(took);
-  samples_ = std::min(samples_ + 1, kLeastSamples);
+void service_time_estimate::AddSample(duration service_time) {
+  const double service_time_s = ToSeconds(service_time);
+  samples_ = std::min(samples_ + 1, kMinSamples);
   if (median_s_ == 0) {
-    median_s_ = took_s;
+    median_s_ = service_time_s;
     return;
   }
-  const double step = std::max(kStep, kFirstStep / samples_);
-  median_s_ *= took_s > median_s_ ? 1 + step : 1 - step;
+  const double step = std::max(kStep, kInitialStep / samples_);
+  median_s_ *= service_time_s > median_s_ ? 1 + step : 1 - step;
 }
 
 duration service_time_estimate::Median() const {
-  return samples_ < kLeastSamples ? duration::zero() : FromSeconds(median_s_);
+  return samples_ < kMinSamples ? duration::zero() : FromSeconds(median_s_);
 }
 
 }  // namespace citron
--- /dev/null
+++ b/src/policy/upstream_tracker.cc
@@ -0,0 +1,159 @@
+#include "citron/policy/upstream_tracker.h"
+
+#include <algorithm>
+
+#include "citron/base/digest.h"
+
+namespace citron {
+
+namespace {
+
+// Weight of the newest outcome in the failure rate: covers about the last ten
+// outcomes.
+constexpr double kOutcomeWeight = 0.12;
+
+bool IsSuccess(upstream_outcome outcome) {
+  return outcome == upstream_outcome::kAnswered;
+}
+
+}  // namespace
+
+// Load pattern: upstreams that crash, return cold, fail a fraction of their
+// requests or are shared by many VMs. Each VM judges an upstream by the
+// outcomes of its own requests and by reported loads.
+
+upstream_tracker::upstream_tracker(const upstream_record& record,
+                                   const region_id& region, monotonic_time now,
+                                   const weight_control_options& weights)
+    : record_(record),
+      region_(region),
+      hash_(HashBytes(record.id.Str())),
+      weight_(weights) {
+  MarkCold(record.cold_left, now);
+}
+
+void upstream_tracker::OnRecord(const upstream_record& record,
+                                monotonic_time now) {
+  const bool restarted =
+      record.born_ms != record_.born_ms || record.address != record_.address;
+  record_ = record;
+  reported_leaving_ = false;
+  may_have_restarted_ = false;
+  if (restarted) {
+    connect_failures_ = 0;
+    backoff_until_ = {};
+    failure_rate_ = 0;
+    samples_ = 0;
+    ejected_until_ = {};
+    other_callers_load_ = 0;
+    weight_.Reset();
+  }
+  MarkCold(record.cold_left, now);
+}
+
+void upstream_tracker::SetColdAllowance(const cold_allowance& allowance) {
+  allowance_ = allowance;
+}
+
+void upstream_tracker::MarkCold(duration left, monotonic_time now) {
+  if (left <= duration::zero()) return;
+  if (!IsCold(now)) {
+    cold_tokens_ = allowance_.burst;
+    cold_tokens_at_ = now;
+  }
+  cold_until_ = std::max(cold_until_, now + left);
+}
+
+void upstream_tracker::OnSent(monotonic_time now) {
+  ++in_flight_;
+  if (!IsCold(now)) return;
+  cold_tokens_ = ColdTokens(now) - 1;
+  cold_tokens_at_ = now;
+}
+
+void upstream_tracker::OnReport(const load_report& report, monotonic_time now) {
+  // The report excludes the request that it arrives with, so the local count
+  // excludes it as well; OnDone has not run for it yet.
+  UpdateLoad(report.running + report.waiting, in_flight_ - 1, report.slots,
+             now);
+}
+
+void upstream_tracker::OnPeerLoadReport(int requests, monotonic_time now) {
+  UpdateLoad(requests, in_flight_, record_.slots, now);
+}
+
+void upstream_tracker::UpdateLoad(int requests, int local_in_flight, int slots,
+                                  monotonic_time now) {
+  other_callers_load_ = std::max(0, requests - local_in_flight);
+  reported_at_ = now;
+  weight_.OnLoadReport(static_cast<double>(requests) / std::max(1, slots), now);
+}
+
+int upstream_tracker::Load(monotonic_time now) const {
+  const bool report_valid = now - reported_at_ < options_.report_lifetime;
+  return in_flight_ + (report_valid ? other_callers_load_ : 0);
+}
+
+void upstream_tracker::OnDone(upstream_outcome outcome, monotonic_time now) {
+  --in_flight_;
+  if (outcome == upstream_outcome::kCancelled) return;
+  const bool failed = !IsSuccess(outcome);
+  failure_rate_ += kOutcomeWeight * ((failed ? 1.0 : 0.0) - failure_rate_);
+  ++samples_;
+  if (failure_rate_ > options_.ejection_failure_rate &&
+      samples_ >= options_.min_ejection_samples) {
+    ejected_until_ = now + options_.ejection_duration;
+    // The upstream returns with a lower rate and no samples; otherwise old
+    // outcomes would decide about its next ejection.
+    failure_rate_ = options_.ejection_failure_rate / 2;
+    samples_ = 0;
+  }
+  switch (outcome) {
+    case upstream_outcome::kConnectFailedNotRun:
+      OnConnectFailure(now);
+      break;
+    case upstream_outcome::kLeavingNotRun:
+      reported_leaving_ = true;
+      break;
+    case upstream_outcome::kAnswered:
+    case upstream_outcome::kServerError:
+      connect_failures_ = 0;
+      if (may_have_restarted_ &&
+          restart_ruled_out_at_ == monotonic_time::max()) {
+        restart_ruled_out_at_ = now + options_.restart_report_delay;
+      }
+      break;
+    default:
+      // These outcomes count only in the failure rate. A single lost answer
+      // says little: the next connection attempt shows whether the upstream is
+      // reachable.
+      break;
+  }
+}
+
+void upstream_tracker::OnConnectFailure(monotonic_time now) {
+  may_have_restarted_ = true;
+  restart_ruled_out_at_ = monotonic_time::max();
+  const int doublings = std::min(connect_failures_, 6);
+  ++connect_failures_;
+  backoff_until_ = now + std::min(options_.initial_backoff * (1 << doublings),
+                                  options_.max_backoff);
+}
+
+bool upstream_tracker::IsCold(monotonic_time now) const {
+  const bool restart_possible =
+      may_have_restarted_ && now < restart_ruled_out_at_;
+  return restart_possible || now < cold_until_;
+}
+
+double upstream_tracker::ColdTokens(monotonic_time now) const {
+  const double accrued =
+      allowance_.rate_per_s * ToSeconds(now - cold_tokens_at_);
+  return std::min(allowance_.burst, cold_tokens_ + accrued);
+}
+
+bool upstream_tracker::CanTakeColdRequest(monotonic_time now) const {
+  return ColdTokens(now) >= 1;
+}
+
+}  // namespace citron
--- a/tests/policy/affinity_selector_test.cc
+++ b/tests/policy/affinity_selector_test.cc
@@ -20,24 +20,24 @@
 class selector_fixture {
  public:
   selector_fixture() : selector_(Options()) {
-    for (int i = 0; i < kUpstreams; ++i) Add(selector_, i);
+    for (int i = 0; i < kUpstreams; ++i) AddUpstream(selector_, i);
   }
 
   static selector_options Options() {
     selector_options options;
     options.zone = zone_id("z0");
     options.region = region_id("r0");
-    options.region_weight = 1;
-    options.large_zone_weight = 1;
-    options.large_region_weight = 8;
+    options.same_region_weight = 1;
+    options.large_answer_zone_weight = 1;
+    options.large_answer_region_weight = 8;
     options.replicas = 2;
-    options.load_limit = 2;
-    options.spare_load = 0.5;
+    options.max_load_limit = 2;
+    options.spare_replica_load = 0.5;
     return options;
   }
 
-  // Two zones a region: upstream i stands in zone i % 4.
-  void Add(affinity_selector& selector, int i) const {
+  // Adds upstream i in zone i % 4. Each region has two zones.
+  void AddUpstream(affinity_selector& selector, int i) const {
     upstream_record record;
     record.id = upstream_id(fmt::format("u{}", i));
     record.zone = zone_id(fmt::format("z{}", i % 4));
@@ -45,13 +45,13 @@
     selector.SetUpstream(record, region_id(i % 4 < 2 ? "r0" : "r1"), now_);
   }
 
-  selection_request Object(int object) const {
+  selection_request RequestForObject(int object) const {
     selection_request request;
     request.object = HashBytes(std::to_string(object));
     return request;
   }
 
-  std::string Chosen(const selection_request& request) const {
+  std::string ChosenUpstream(const selection_request& request) const {
     const auto chosen = selector_.Choose(request, now_);
     const auto* selected = std::get_if<selection>(&chosen);
     return selected == nullptr
@@ -71,34 +71,37 @@
 
 BOOST_FIXTURE_TEST_SUITE(choice, selector_fixture)
 
-// Many VMs that don't talk to each other serve the same objects. If they chose
-// differently, each upstream would meet every object and stay cold.
-BOOST_AUTO_TEST_CASE(AllVmsChooseTheSameUpstreamForAnObject) {
+// VMs choose upstreams without communicating and learn of the upstreams in any
+// order. If they chose differently, each upstream would receive every object
+// and stay cold.
+BOOST_AUTO_TEST_CASE(TheOrderOfAnnouncementsDoesNotChangeTheChoice) {
   affinity_selector other(Options());
-  for (int i = kUpstreams - 1; i >= 0; --i) Add(other, i);
+  for (int i = kUpstreams - 1; i >= 0; --i) AddUpstream(other, i);
   for (int object = 0; object < 200; ++object) {
-    const auto there = other.Choose(Object(object), now_);
-    BOOST_TEST(Chosen(Object(object)) ==
-               std::get<selection>(there).upstream.Str());
+    const auto other_choice = other.Choose(RequestForObject(object), now_);
+    BOOST_TEST(ChosenUpstream(RequestForObject(object)) ==
+               std::get<selection>(other_choice).upstream.Str());
   }
 }
 
-// An upstream goes away. Objects of the others must stay where they are warm.
-BOOST_AUTO_TEST_CASE(OnlyTheObjectsOfALostUpstreamMove) {
+// After an upstream is removed, the objects of the other upstreams stay where
+// they are warm.
+BOOST_AUTO_TEST_CASE(OnlyObjectsOfARemovedUpstreamMove) {
   std::map<int, std::string> before;
   for (int object = 0; object < 500; ++object) {
-    before[object] = Chosen(Object(object));
+    before[object] = ChosenUpstream(RequestForObject(object));
   }
   selector_.RemoveUpstream(upstream_id("u3"));
   for (const auto& [object, upstream] : before) {
-    if (upstream != "u3") BOOST_TEST(Chosen(Object(object)) == upstream);
+    if (upstream != "u3")
+      BOOST_TEST(ChosenUpstream(RequestForObject(object)) == upstream);
   }
 }
 
 BOOST_AUTO_TEST_CASE(ObjectsAreSpreadOverAllUpstreams) {
   std::map<std::string, int> counts;
   for (int object = 0; object < 6000; ++object)
-    ++counts[Chosen(Object(object))];
+    ++counts[ChosenUpstream(RequestForObject(object))];
   BOOST_TEST(counts.size() == static_cast<std::size_t>(kUpstreams));
   for (const auto& [upstream, count] : counts) {
     BOOST_TEST(count > 350);
@@ -106,39 +109,41 @@
   }
 }
 
-// One object takes a large part of the traffic. Its upstream must not be
-// overrun, a second one helps as long as it is nearly free, and what both can't
-// take is refused instead of making the object known to all others.
-BOOST_AUTO_TEST_CASE(AHotObjectHasFewCopiesAndIsRefusedBeyondThem) {
-  const selection_request hot = Object(7);
+// One object has a large share of the traffic. Its upstream must not be
+// overloaded, a second upstream helps while it is nearly idle, and the excess
+// is rejected instead of spreading the object to all other upstreams.
+BOOST_AUTO_TEST_CASE(AHotObjectHasFewReplicasAndIsRejectedBeyondThem) {
+  const selection_request hot = RequestForObject(7);
   std::set<std::string> used;
   int sent = 0;
-  while (Chosen(hot).starts_with("u") && Chosen(hot) != "unavailable") {
-    used.insert(Chosen(hot));
-    Fill(Chosen(hot), 1);
+  while (ChosenUpstream(hot).starts_with("u") &&
+         ChosenUpstream(hot) != "unavailable") {
+    used.insert(ChosenUpstream(hot));
+    Fill(ChosenUpstream(hot), 1);
     BOOST_REQUIRE(++sent < 100);
   }
-  BOOST_TEST(Chosen(hot) == "busy");
+  BOOST_TEST(ChosenUpstream(hot) == "busy");
   BOOST_TEST(used.size() == 2u);
-  // Twice the slots of the first, and half of those of the second.
+  // With three slots each: the first upstream takes two requests per slot, the
+  // second takes requests while its load is below half a request per slot.
   BOOST_TEST(sent == 6 + 2);
 }
 
-// A flood fills the first upstreams of many objects. What spills over must stay
-// in their regions: the links between regions are narrow, and the receiving
-// region is warm for other objects.
+// A flood fills the preferred upstreams of many objects. The overflow must stay
+// in their regions: links between regions are narrow, and the other region is
+// warm for other objects.
 BOOST_AUTO_TEST_CASE(AFloodDoesNotMoveObjectsToAnotherRegion) {
   const auto region_of = [this](const std::string& id) {
     return selector_.Find(upstream_id(id))->Region().Str();
   };
   std::map<int, std::string> before;
   for (int object = 0; object < 200; ++object) {
-    before[object] = region_of(Chosen(Object(object)));
+    before[object] = region_of(ChosenUpstream(RequestForObject(object)));
   }
   int spilled = 0;
   for (int i = 0; i < 60; ++i) {
     for (const auto& [object, region] : before) {
-      const auto chosen = selector_.Choose(Object(object), now_);
+      const auto chosen = selector_.Choose(RequestForObject(object), now_);
       const auto* selected = std::get_if<selection>(&chosen);
       if (selected == nullptr) continue;
       if (!selected->first_choice) ++spilled;
@@ -149,69 +154,74 @@
   BOOST_TEST(spilled > 0);
 }
 
-BOOST_AUTO_TEST_CASE(AllowedRegionsBindAlsoWhenAllIsBusyThere) {
+BOOST_AUTO_TEST_CASE(AllowedRegionsHoldWhenTheirUpstreamsAreBusy) {
   const std::set<region_id> homes{region_id("r1")};
-  selection_request request = Object(1);
-  request.workspace_homes = &homes;
+  selection_request request = RequestForObject(1);
+  request.workspace_allowed_regions = &homes;
   for (int i = 0; i < 300; ++i) {
     request.object = HashBytes(std::to_string(i));
-    const std::string chosen = Chosen(request);
+    const std::string chosen = ChosenUpstream(request);
     if (chosen == "busy") continue;
     BOOST_TEST(selector_.Find(upstream_id(chosen))->Region().Str() == "r1");
     Fill(chosen, 1);
   }
   const std::set<region_id> nowhere{region_id("r9")};
-  request.route_homes = &nowhere;
-  BOOST_TEST(Chosen(request) == "not_allowed");
+  request.route_allowed_regions = &nowhere;
+  BOOST_TEST(ChosenUpstream(request) == "not_allowed");
 }
 
-BOOST_AUTO_TEST_CASE(AClosedZoneGetsNothing) {
+BOOST_AUTO_TEST_CASE(AClosedZoneGetsNoRequests) {
   selector_.SetClosedZones({zone_id("z0"), zone_id("z2")});
   for (int object = 0; object < 300; ++object) {
     const zone_id zone =
-        selector_.Find(upstream_id(Chosen(Object(object))))->Record().zone;
+        selector_.Find(upstream_id(ChosenUpstream(RequestForObject(object))))
+            ->Record()
+            .zone;
     BOOST_TEST((zone.Str() == "z1" || zone.Str() == "z3"));
   }
 }
 
-BOOST_AUTO_TEST_CASE(WhatWasTriedIsNotTriedAgain) {
-  selection_request request = Object(5);
+BOOST_AUTO_TEST_CASE(TriedUpstreamsAreNotChosenAgain) {
+  selection_request request = RequestForObject(5);
   std::vector<upstream_id> tried;
-  request.tried = &tried;
+  request.excluded_upstreams = &tried;
   std::set<std::string> seen;
   for (int i = 0; i < kUpstreams; ++i) {
-    const std::string chosen = Chosen(request);
+    const std::string chosen = ChosenUpstream(request);
     BOOST_TEST(seen.insert(chosen).second);
     tried.emplace_back(chosen);
   }
-  BOOST_TEST(Chosen(request) == "unavailable");
+  BOOST_TEST(ChosenUpstream(request) == "unavailable");
 }
 
-// A zone is cut off. After two upstreams there could not be connected to, the
-// others must not cost a request a connect timeout each.
-BOOST_AUTO_TEST_CASE(AZoneOutOfReachIsLeftAloneAsAWhole) {
+// A zone is partitioned. After two connect timeouts in the zone, its other
+// upstreams must not cost a request a connect timeout each.
+BOOST_AUTO_TEST_CASE(AnUnreachableZoneIsExcluded) {
   selector_.OnConnectTimeout(zone_id("z2"), now_);
   selector_.OnConnectTimeout(zone_id("z2"), now_);
   for (int object = 0; object < 300; ++object) {
-    BOOST_TEST(selector_.Find(upstream_id(Chosen(Object(object))))
-                   ->Record()
-                   .zone.Str() != "z2");
+    BOOST_TEST(
+        selector_.Find(upstream_id(ChosenUpstream(RequestForObject(object))))
+            ->Record()
+            .zone.Str() != "z2");
   }
   now_ += seconds(2);
   std::set<std::string> zones;
   for (int object = 0; object < 300; ++object) {
-    zones.insert(selector_.Find(upstream_id(Chosen(Object(object))))
-                     ->Record()
-                     .zone.Str());
+    zones.insert(
+        selector_.Find(upstream_id(ChosenUpstream(RequestForObject(object))))
+            ->Record()
+            .zone.Str());
   }
   BOOST_TEST(zones.contains("z2"));
 }
 
-// Most upstreams of a service begin to fail at once, as when something behind
-// them is down. Taking them all out would send everything to the few others.
-BOOST_AUTO_TEST_CASE(EjectionLeavesHalfOfTheUpstreams) {
+// Most upstreams of a service start to fail at once, for example because a
+// shared dependency is down. Ejecting all of them would send all traffic to the
+// few others.
+BOOST_AUTO_TEST_CASE(EjectionsAreIgnoredWhenMostUpstreamsAreEjected) {
   for (int i = 0; i < 8; ++i) {
-    upstream_standing* upstream =
+    upstream_tracker* upstream =
         selector_.Find(upstream_id(fmt::format("u{}", i)));
     for (int k = 0; k < 10; ++k) {
       upstream->OnSent(now_);
@@ -221,20 +231,21 @@
   }
   std::set<std::string> used;
   for (int object = 0; object < 600; ++object)
-    used.insert(Chosen(Object(object)));
+    used.insert(ChosenUpstream(RequestForObject(object)));
   BOOST_TEST(used.size() == static_cast<std::size_t>(kUpstreams));
 }
 
-BOOST_AUTO_TEST_CASE(LargeAnswersComeFromNear) {
+BOOST_AUTO_TEST_CASE(LargeAnswersPreferTheLocalRegion) {
   selection_request request;
   request.large_answer = true;
   int near = 0;
   for (int object = 0; object < 1000; ++object) {
     request.object = HashBytes(std::to_string(object));
-    const std::string chosen = Chosen(request);
+    const std::string chosen = ChosenUpstream(request);
     if (selector_.Find(upstream_id(chosen))->Region().Str() == "r0") ++near;
   }
-  // Eight times the weight for half of the upstreams: 8 of 9.
+  // The local region has eight times the weight and half of the upstreams: 8 of
+  // 9.
   BOOST_TEST(near > 840);
 }
 
